--- a/benchmarks/console.py
+++ b/benchmarks/console.py
@@ -1,11 +1,11 @@
-"""What the console costs: bytes on the line by screen, and the proxy's time for a request.
+"""Measure what the console costs: bytes on the line for each screen, and the proxy's CPU time per request.
 
     python -m benchmarks.console [--before FOLDER] [--seconds 8] [--rounds 3] [--rate 300]
 
-The variants take turns in one run, so that the machine's moods fall on all alike: the program as it was in
-FOLDER (a checkout of an earlier commit; left out if none is given), with no operators' file, with the
-control socket and no console, with one and with eight. CPU is the proxy's own run time
-(/proc/PID/schedstat) for each request served. Only ratios within one run mean something.
+The variants take turns within one run, so that other load on the machine affects all alike: the program in
+FOLDER (a checkout of an earlier commit; left out if none is given), without an operators' file, with the
+control socket and no console, with one console and with eight. CPU is the proxy's own run time
+(/proc/PID/schedstat) for each request served. Only ratios within one run are comparable.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 from typing import Any
 
 from cloverrouter.lab.peers import Account, Client, Discovery, Proxy, running, working_host
-from tests.standins.appliance import boxed
+from tests.standins.appliance import running_appliance
 from tests.standins.terminal import on_terminal
 
 VARIANTS = ("before", "off", "none", "one", "eight")
@@ -32,22 +32,23 @@
 
 
 def run_ns(pid: int) -> int:
-    """CPU time of a process so far, all threads that it has now."""
+    """CPU time of a process so far, summed over the threads that it has now."""
     return sum(int(p.read_text().split()[0]) for p in Path(f"/proc/{pid}/task").glob("*/schedstat"))
 
 
 def rss_kb(pid: int) -> int:
+    """Resident memory of a process."""
     lines = Path(f"/proc/{pid}/status").read_text().splitlines()
     return int(next(line for line in lines if line.startswith("VmRSS")).split()[1])
 
 
 async def load(proxy: Proxy, rate: float, seconds: float) -> int:
-    """`rate` requests a second on kept connections, sent by the clock; how many were served."""
+    """Send `rate` requests a second on kept connections at fixed times and return how many were served."""
     idle: list[Client] = []
-    out: set[asyncio.Task[None]] = set()
+    in_flight: set[asyncio.Task[None]] = set()
     served = 0
 
-    async def ask() -> None:
+    async def send_request() -> None:
         nonlocal served
         client = idle.pop() if idle else await proxy.client()
         answer = await client.ask("/keyed")
@@ -60,23 +61,23 @@
     begun = time.monotonic()
     for i in range(int(rate * seconds)):
         await asyncio.sleep(max(0.0, begun + i / rate - time.monotonic()))
-        task = asyncio.get_running_loop().create_task(ask())
-        out.add(task)
-        task.add_done_callback(out.discard)
-    await asyncio.gather(*out)
+        task = asyncio.get_running_loop().create_task(send_request())
+        in_flight.add(task)
+        task.add_done_callback(in_flight.discard)
+    await asyncio.gather(*in_flight)
     for client in idle:
         client.writer.close()
     return served
 
 
 async def measure(variant: str, before: str | None, rate: float, seconds: float) -> tuple[float, int, float]:
-    """CPU microseconds a request, resident KB at the end, share served."""
+    """CPU microseconds per request, resident KB at the end, and the share served."""
     account = Account()
     hosts = [await working_host(f"s-{i}", account, 0.01) for i in range(3)]
     async with AsyncExitStack() as stack:
         if variant in ("before", "off"):
             discovery = await Discovery().start()
-            discovery.holds = True
+            discovery.ends_idle_watches = True
             environ = {"PYTHONPATH": before} if variant == "before" and before else {}
             command = [sys.executable, "-P", "-m", "cloverrouter.proxy"]
             environ = environ or {"PYTHONPATH": os.getcwd()}
@@ -84,10 +85,10 @@
                 running(discovery, hosts, environ=environ, command=command)
             )
         else:
-            box, proxy, _ = await stack.enter_async_context(boxed(hosts))
+            appliance, proxy, _ = await stack.enter_async_context(running_appliance(hosts))
             for _ in range(CONSOLES.get(variant, 0)):
-                where = ("console", "--socket", str(box.socket))
-                terminal, _ = await stack.enter_async_context(on_terminal(*where))
+                command_line = ("console", "--socket", str(appliance.socket))
+                terminal, _ = await stack.enter_async_context(on_terminal(*command_line))
                 await terminal.sees("s-2")
         await load(proxy, rate, 2.0)
         start = run_ns(proxy.process.pid)
@@ -96,23 +97,22 @@
         return used / 1000 / max(1, served), rss_kb(proxy.process.pid), served / int(rate * seconds)
 
 
-async def attached(rate: float, seconds: float, rounds: int) -> None:
-    """The same proxy with none, one and eight consoles in turns, under load and idle.
+async def measure_consoles(rate: float, seconds: float, rounds: int) -> None:
+    """Measure one proxy with none, one and eight consoles in turns, under load and idle.
 
-    Processes that are started one after the other differ by more than a console costs; one process, looked
-    at in short turns, does not.
+    Separately started processes differ by more than a console costs; short turns on one process don't.
     """
     account = Account()
     hosts = [await working_host(f"s-{i}", account, 0.01) for i in range(3)]
     busy, idle = defaultdict[int, list[float]](list), defaultdict[int, list[float]](list)
-    async with boxed(hosts) as (box, proxy, _):
+    async with running_appliance(hosts) as (appliance, proxy, _):
         await load(proxy, rate, 2.0)
         for number in range(rounds):
             for count in (0, 1, 8) if number % 2 == 0 else (8, 1, 0):
                 async with AsyncExitStack() as stack:
                     for _ in range(count):
-                        where = ("console", "--socket", str(box.socket))
-                        terminal, _ = await stack.enter_async_context(on_terminal(*where))
+                        command_line = ("console", "--socket", str(appliance.socket))
+                        terminal, _ = await stack.enter_async_context(on_terminal(*command_line))
                         await terminal.sees("s-2")
                     await asyncio.sleep(0.5)
                     start = run_ns(proxy.process.pid)
@@ -135,13 +135,13 @@
 
 
 async def bytes_by_screen(seconds: float, rate: float, servers: int) -> dict[str, Any]:
-    """Bytes of the first paint, and bytes a second of each screen, on 9,600 baud under load."""
+    """Bytes of the first screen and bytes a second of each screen, on 9,600 baud under load."""
     account = Account()
     hosts = [await working_host(f"s-{i:02}", account, 0.01) for i in range(servers)]
     found: dict[str, Any] = {}
-    async with boxed(hosts) as (box, proxy, _):
+    async with running_appliance(hosts) as (appliance, proxy, _):
         loading = asyncio.create_task(load(proxy, rate, 6 * seconds + 30))
-        async with on_terminal("console", "--socket", str(box.socket), baud=LINE_BAUD) as (terminal, _):
+        async with on_terminal("console", "--socket", str(appliance.socket), baud=LINE_BAUD) as (terminal, _):
             found["first screen s"] = await terminal.sees(f"s-{min(servers, 14) - 1:02}", "all is well")
             found["first screen bytes"] = terminal.bytes
             for key, screen, head in (("1", "servers", "PAY"), ("2", "load", "GONE/s"),
@@ -173,30 +173,35 @@
 
 
 def main() -> None:
+    """Run the selected measurements and print their figures."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("--before", help="a checkout of an earlier commit")
     parser.add_argument("--seconds", type=float, default=8.0)
     parser.add_argument("--rounds", type=int, default=3)
     parser.add_argument("--rate", type=float, default=300.0)
-    parser.add_argument("--only", choices=("bytes", "cpu"), help="half of it")
-    told = parser.parse_args()
-    # What the stand-ins still have open at the end of a run is cancelled, and would be written out each.
+    parser.add_argument("--only", choices=("bytes", "cpu"), help="run only one half")
+    options = parser.parse_args()
+    # Tasks that the stand-ins still have open at the end of a run are cancelled; asyncio would log each.
     logging.getLogger("asyncio").setLevel(logging.CRITICAL)
-    for servers in (3, 17) if told.only != "cpu" else ():
+    for servers in (3, 17) if options.only != "cpu" else ():
         print(f"{servers} servers, 100 requests a second, 9,600 baud:")
-        for name, value in asyncio.run(bytes_by_screen(told.seconds, 100.0, servers)).items():
+        for name, value in asyncio.run(bytes_by_screen(options.seconds, 100.0, servers)).items():
             print(f"  {name}: {value:.2f}")
-    if told.only == "bytes":
+    if options.only == "bytes":
         return
-    asyncio.run(attached(told.rate, told.seconds / 2, 3 * told.rounds))
+    asyncio.run(measure_consoles(options.rate, options.seconds / 2, 3 * options.rounds))
     figures: dict[str, list[tuple[float, int, float]]] = defaultdict(list)
-    variants = [v for v in VARIANTS if v != "before" or told.before]
-    for number in range(told.rounds):
+    variants = [v for v in VARIANTS if v != "before" or options.before]
+    for number in range(options.rounds):
         for variant in variants if number % 2 == 0 else reversed(variants):
-            figures[variant].append(asyncio.run(measure(variant, told.before, told.rate, told.seconds)))
+            figures[variant].append(
+                asyncio.run(measure(variant, options.before, options.rate, options.seconds))
+            )
     none = statistics.median(f[0] for f in figures["none"])
     least = min(f[0] for f in figures["none"])
-    print(f"{told.rounds} rounds of {told.seconds:g} s at {told.rate:g} requests a second (medians):")
+    print(
+        f"{options.rounds} rounds of {options.seconds:g} s at {options.rate:g} requests a second (medians):"
+    )
     for variant in variants:
         cpu = statistics.median(f[0] for f in figures[variant])
         spread = [f"{f[0]:.0f}" for f in figures[variant]]
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -1,11 +1,11 @@
-"""Thousands of proxies with a trickle each, in simulated time: what servers meet, and what clients get.
+"""Thousands of proxies with a low request rate each, in simulated time: load of servers, results of clients.
 
     python -m benchmarks.fleet [--proxies 5000] [--seeds 1] [CASE ...]
 
-Each case is one run of the lab: the real module and node in each proxy, ten servers. Figures: worth served in
-aim; attempts that came to servers over requests asked; connections at the server that had most of them;
-the busiest server's requests over the mean; servers that fell over while cold. `quiet` has half of what the
-servers can take, `over` one and a half times of it.
+Each case is one run of the lab, with the real decision module and node in each proxy and ten servers.
+Figures: worth served within the aim; attempts received by servers per request; the highest number of
+connections at one server; the busiest server's requests over the mean; servers that crashed from overload
+while cold. `quiet` offers half of the servers' capacity, `over` one and a half times of it.
 """
 
 from __future__ import annotations
@@ -75,8 +75,8 @@
 share = 1.0
 {servers}
 """
-FAILS_S = (40, 50)
-# seconds, rate, how unequal, seconds within which the proxies start, faults
+FAILURE_WINDOW_S = (40, 50)
+# Seconds, requests per second, inequality of the proxies' rates, seconds within which they start, faults
 CASES: dict[str, tuple[int, int, float, float, str]] = {
     "quiet": (30, 300, 1.0, 0.0, ""),
     "even": (30, 300, 0.0, 0.0, ""),
@@ -89,65 +89,74 @@
 }
 
 
-class Fleet(Simulation):
-    """Counts servers that fall over."""
+class OverloadCountingSimulation(Simulation):
+    """Simulation that counts servers which crash from overload."""
 
-    fallen = 0
+    overload_crashes = 0
 
     def _fell(self, server: Server) -> None:
-        self.fallen += 1
+        self.overload_crashes += 1
         super()._fell(server)
 
 
-def one(told: tuple[str, int, int]) -> str:
-    name, proxies, seed = told
+def run_case(job: tuple[str, int, int]) -> str:
+    """Run one case, given as (name, proxies, seed), and return its row."""
+    name, proxies, seed = job
     seconds, rate, unequal, spread, faults = CASES[name]
     text = BASE.format(seconds=seconds, proxies=proxies, rate=rate, unequal=unequal, spread=spread) + faults
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder, "fleet.toml")
         path.write_text(text)
-        fleet = Fleet(load(str(path)), seed)
-    result = fleet.run()
+        simulation = OverloadCountingSimulation(load(str(path)), seed)
+    result = simulation.run()
     figures, sends = result.figures, result.series.sends
-    first = [sum(sends.get(f"s-{i + 1}", [])) for i in range(10)]
-    busiest = max(first) / max(1e-9, sum(first) / len(first))
+    attempts_by_server = [sum(sends.get(f"s-{i + 1}", [])) for i in range(10)]
+    busiest_ratio = max(attempts_by_server) / max(1e-9, sum(attempts_by_server) / len(attempts_by_server))
     return (
         f"{name:9} seed {seed}: in aim {figures.worth:.3f}, attempts a request "
         f"{figures.attempts_per_request:.3f}, most connections {figures.most_connections}, "
-        f"busiest over mean {busiest:.2f}, fell over {fleet.fallen}"
-        + (failing(result.series) if name in ("third", "all") else "")
+        f"busiest over mean {busiest_ratio:.2f}, fell over {simulation.overload_crashes}"
+        + (failure_figures(result.series) if name in ("third", "all") else "")
         + (f", RULE BROKEN: {result.broken}" if result.broken else "")
     )
 
 
-def failing(series: Series) -> str:
-    """While servers fail: attempts a request, and worth in aim; then, until that is back where it was."""
-    begin, end = FAILS_S
+def failure_figures(series: Series) -> str:
+    """Return the figures while servers fail: attempts per request, worth in aim, and the time to recover.
+
+    Recovered means that the share of the worth served in aim, in the mean of three seconds, is back at 95% of
+    its level before the failure.
+    """
+    begin, end = FAILURE_WINDOW_S
     during = slice(begin, end)
-    sends = sum(sum(each[during]) for each in series.sends.values()) / sum(series.offered[during])
-    parts = [good / max(1e-9, asked) for good, asked in zip(series.good, series.asked, strict=True)]
-    usual = sum(parts[begin - 10 : begin]) / 10
-    back = next((i for i in range(end, len(parts) - 2) if sum(parts[i : i + 3]) / 3 >= 0.95 * usual), None)
-    again = f"after {back - end} s" if back is not None else "NOT"
+    attempts = sum(sum(each[during]) for each in series.sends.values()) / sum(series.offered[during])
+    shares = [good / max(1e-9, asked) for good, asked in zip(series.good, series.asked, strict=True)]
+    baseline = sum(shares[begin - 10 : begin]) / 10
+    recovered = next(
+        (i for i in range(end, len(shares) - 2) if sum(shares[i : i + 3]) / 3 >= 0.95 * baseline), None
+    )
+    recovery = f"after {recovered - end} s" if recovered is not None else "NOT"
     return (
-        f"; failing: attempts a request {sends:.3f}, in aim {sum(parts[during]) / (end - begin):.3f}, "
-        f"back {again}"
+        f"; failing: attempts a request {attempts:.3f}, in aim {sum(shares[during]) / (end - begin):.3f}, "
+        f"back {recovery}"
     )
 
 
 def rows(names: list[str], proxies: int, seeds: int) -> Iterator[str]:
-    told = [(name, proxies, seed) for name in names for seed in range(100, 100 + seeds)]
+    """Yield the row of each run, over all cases and seeds."""
+    jobs = [(name, proxies, seed) for name in names for seed in range(100, 100 + seeds)]
     with ProcessPoolExecutor(max_workers=6, max_tasks_per_child=1) as pool:
-        yield from pool.map(one, told)
+        yield from pool.map(run_case, jobs)
 
 
 def main() -> None:
+    """Print a row for each run."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("case", nargs="*", default=list(CASES), help=", ".join(CASES))
     parser.add_argument("--proxies", type=int, default=5000)
     parser.add_argument("--seeds", type=int, default=1)
-    told = parser.parse_args()
-    for row in rows(told.case, told.proxies, told.seeds):
+    args = parser.parse_args()
+    for row in rows(args.case, args.proxies, args.seeds):
         print(row, flush=True)
 
 
--- a/benchmarks/http3.py
+++ b/benchmarks/http3.py
@@ -1,13 +1,14 @@
-"""What HTTP/3 costs beside HTTP/1.1: in the libraries alone, in the proxy, under load.
+"""Compare the cost of HTTP/3 with that of HTTP/1.1: in the libraries alone, in the proxy, and under load.
 
     python -m benchmarks.http3 [libraries] [cost] [mixed] [--requests 6000] [--seconds 10] [--seeds 1]
 
-`libraries`: both QUIC libraries in memory, no socket, the answer made at once: CPU of the server's side.
-`cost`: CPU time and memory of the proxy's process before eight stand-in servers, by protocol and connections.
-`mixed`: an open load of 570 requests a second, both classes, over ten servers that fail and pause; clients
-and servers by HTTP/1.1 alone, mixed, and by HTTP/3 alone, with a share of the datagrams lost each way.
-`flood`: an even load by HTTP/1.1 and by HTTP/3, without and with forged first packets on the UDP port.
-All of one call on one machine; only ratios within it are to be compared.
+`libraries`: CPU time of the server's side for both QUIC libraries, in memory, without a socket and with an
+immediate answer.
+`cost`: CPU time and memory of the proxy's process, with eight stand-in servers, by protocol and connections.
+`mixed`: an open load of 570 requests a second, of both classes, over ten servers that fail and pause. Clients
+and servers use HTTP/1.1 alone, a mix, and HTTP/3 alone, with a share of the datagrams lost in each direction.
+`flood`: an even load by HTTP/1.1 and by HTTP/3, without and with forged Initial packets on the UDP port.
+Only ratios within one run on one machine are comparable.
 """
 
 from __future__ import annotations
@@ -29,11 +30,11 @@
 
 from cloverrouter.lab.certificates import Authority
 from cloverrouter.lab.peers import Client, Discovery, Host, Listable, Proxy, Seen, ok, running
-from cloverrouter.lab.quic import LIBRARIES, Asked, QuicClient, QuicHost, library
+from cloverrouter.lab.quic import LIBRARIES, QuicClient, QuicHost, ServerRequest, library
 from cloverrouter.lab.relay import Nat
-from tests.http3.test_proxy import Both, both
+from tests.http3.test_proxy import DualProtocolProxy, run_dual_protocol_proxy
 
-ROOM = {"cores": 1.0, "memory_mb": 1024, "sockets": 16_000}
+LIMITS = {"cores": 1.0, "memory_mb": 1024, "sockets": 16_000}
 RATE = 570  # requests a second
 TICKS = os.sysconf("SC_CLK_TCK")
 ANSWER = [(b":status", b"200"), (b"content-type", b"application/json"), (b"content-length", b"200")]
@@ -42,30 +43,31 @@
 # The libraries alone
 
 
-class Memory:
-    """A client's and a server's connection that hand their datagrams to each other."""
+class InMemoryPair:
+    """A client's and a server's connection that pass their datagrams to each other in memory."""
 
     def __init__(self, name: str, authority: Path, files: tuple[str, str]) -> None:
         self.parts = library(name)
-        told = {"alpn_protocols": ["h3"], "max_datagram_frame_size": 65536}
-        own = self.parts.Settings(is_client=True, server_name="localhost", **told)
-        own.load_verify_locations(str(authority))
-        self._server = self.parts.Settings(is_client=False, **told)
-        self._server.load_cert_chain(*files)
-        self.client = self.parts.Connection(configuration=own)
+        shared = {"alpn_protocols": ["h3"], "max_datagram_frame_size": 65536}
+        client_settings = self.parts.Settings(is_client=True, server_name="localhost", **shared)
+        client_settings.load_verify_locations(str(authority))
+        self._server_settings = self.parts.Settings(is_client=False, **shared)
+        self._server_settings.load_cert_chain(*files)
+        self.client = self.parts.Connection(configuration=client_settings)
         self.client.connect(("127.0.0.2", 2), now=time.monotonic())
-        self.http = self.parts.Http(self.client)
+        self.client_http = self.parts.Http(self.client)
         self.server: Any = None
-        self.served: Any = None
+        self.server_http: Any = None
         self.cpu_s = 0.0  # of the server's side
-        self.done = self.asked = 0
+        self.done = self.sent = 0
 
     def step(self) -> None:
+        """Pass the datagrams of both sides on once and run the timers that are due."""
         for data, _ in self.client.datagrams_to_send(now=time.monotonic()):
             begun = time.process_time()
             if self.server is None:
                 self.server = self.parts.Connection(
-                    configuration=self._server,
+                    configuration=self._server_settings,
                     original_destination_connection_id=self.client.original_destination_connection_id,
                 )
             self.server.receive_datagram(data, ("127.0.0.1", 1), now=time.monotonic())
@@ -77,8 +79,8 @@
         for data, _ in out:
             self.client.receive_datagram(data, ("127.0.0.2", 2), now=time.monotonic())
             while (event := self.client.next_event()) is not None:
-                for told in self.http.handle_event(event):
-                    self.done += bool(getattr(told, "stream_ended", False))
+                for http_event in self.client_http.handle_event(event):
+                    self.done += bool(getattr(http_event, "stream_ended", False))
         for side in (self.client, self.server):
             due_s = side.get_timer()
             if due_s is not None and due_s <= time.monotonic():
@@ -86,47 +88,49 @@
 
     def _serve(self) -> None:
         while (event := self.server.next_event()) is not None:
-            if self.served is None and isinstance(event, self.parts.quic.ProtocolNegotiated):
-                self.served = self.parts.Http(self.server)
-            for told in self.served.handle_event(event) if self.served is not None else ():
-                if getattr(told, "stream_ended", False):
-                    self.served.send_headers(told.stream_id, ANSWER)
-                    self.served.send_data(told.stream_id, b"y" * 200, True)
-
-    def ask(self) -> None:
-        self.asked += 1
-        number = self.client.get_next_available_stream_id()
-        told = {
+            if self.server_http is None and isinstance(event, self.parts.quic.ProtocolNegotiated):
+                self.server_http = self.parts.Http(self.server)
+            for http_event in self.server_http.handle_event(event) if self.server_http is not None else ():
+                if getattr(http_event, "stream_ended", False):
+                    self.server_http.send_headers(http_event.stream_id, ANSWER)
+                    self.server_http.send_data(http_event.stream_id, b"y" * 200, True)
+
+    def send_request(self) -> None:
+        """Open a stream with one request on the client's side."""
+        self.sent += 1
+        stream_id = self.client.get_next_available_stream_id()
+        fields = {
             ":method": "POST", ":scheme": "https", ":authority": "x", ":path": "/unsafe?obj=12",
-            "x-request-id": f"r{number}", "x-timeout-ms": "2500",
+            "x-request-id": f"r{stream_id}", "x-timeout-ms": "2500",
         }  # fmt: skip
-        self.http.send_headers(number, [(k.encode(), v.encode()) for k, v in told.items()])
-        self.http.send_data(number, b"x" * 100, True)
+        self.client_http.send_headers(stream_id, [(k.encode(), v.encode()) for k, v in fields.items()])
+        self.client_http.send_data(stream_id, b"x" * 100, True)
 
 
 def libraries(requests: int) -> None:
+    """Print the server's CPU time per handshake and request, and the memory per connection, by library."""
     with tempfile.TemporaryDirectory() as folder:
         authority = Authority(Path(folder))
         files = authority.issue("localhost", "server")
         for name in LIBRARIES:
-            pair = Memory(name, authority.file, files)
-            while pair.served is None:
+            pair = InMemoryPair(name, authority.file, files)
+            while pair.server_http is None:
                 pair.step()
             print(f"{name}: handshake {pair.cpu_s * 1000:.1f} ms of the server's CPU")
             for at_once in (1, 32):
-                pair.cpu_s, pair.done, pair.asked = 0.0, 0, 0
+                pair.cpu_s, pair.done, pair.sent = 0.0, 0, 0
                 while pair.done < requests:
-                    while pair.asked - pair.done < at_once and pair.asked < requests:
-                        pair.ask()
+                    while pair.sent - pair.done < at_once and pair.sent < requests:
+                        pair.send_request()
                     pair.step()
                 print(f"{name}: {at_once} at once: {pair.cpu_s / requests * 1e6:.0f} us a request")
             before = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
             kept = []
             for _ in range(200):
-                pair = Memory(name, authority.file, files)
+                pair = InMemoryPair(name, authority.file, files)
                 while not pair.done:
-                    if pair.served is not None and not pair.asked:
-                        pair.ask()
+                    if pair.server_http is not None and not pair.sent:
+                        pair.send_request()
                     pair.step()
                 kept.append(pair)
             grown = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss - before
@@ -137,18 +141,21 @@
 
 
 def cpu_s(proxy: Proxy) -> float:
-    told = Path(f"/proc/{proxy.process.pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(told[11]) + int(told[12])) / TICKS
+    """User and system time of the proxy's process."""
+    fields = Path(f"/proc/{proxy.process.pid}/stat").read_text().rpartition(")")[2].split()
+    return (int(fields[11]) + int(fields[12])) / TICKS
 
 
 def rss_kb(proxy: Proxy) -> int:
+    """Resident memory of the proxy's process."""
     lines = Path(f"/proc/{proxy.process.pid}/status").read_text().splitlines()
     return int(next(line for line in lines if line.startswith("VmRSS")).split()[1])
 
 
-async def one(b: Both, protocol: str, count: int, requests: int) -> None:
-    before_kb = rss_kb(b.proxy)
-    begun = cpu_s(b.proxy)
+async def measure(fixture: DualProtocolProxy, protocol: str, count: int, requests: int) -> None:
+    """Open `count` connections, send the requests on them and print the cost of each."""
+    before_kb = rss_kb(fixture.proxy)
+    begun = cpu_s(fixture.proxy)
     asks: list[Callable[[], Awaitable[int]]] = []
     clients: list[Client | QuicClient] = []
     at_once = asyncio.Semaphore(16)
@@ -156,7 +163,7 @@
     async def connect() -> None:
         async with at_once:
             if protocol == "HTTP/3":
-                http3 = await b.client("qh3")
+                http3 = await fixture.client("qh3")
                 clients.append(http3)
 
                 async def by3() -> int:
@@ -164,41 +171,41 @@
 
                 asks.append(by3)
             else:
-                http1 = await b.proxy.client()
+                http1 = await fixture.proxy.client()
                 clients.append(http1)
 
                 async def by1() -> int:
                     return (await http1.ask("/unsafe", body=b"x" * 100)).status
 
                 asks.append(by1)
-            await asks[-1]()  # one that is idle before its first request may have to make room
+            await asks[-1]()  # the proxy may evict a connection that is idle before its first request
 
     await asyncio.gather(*(connect() for _ in range(count)))
-    opened = cpu_s(b.proxy)
-    held_kb = rss_kb(b.proxy) - before_kb
+    opened = cpu_s(fixture.proxy)
+    held_kb = rss_kb(fixture.proxy) - before_kb
     left, answers = requests, Counter[int]()
 
-    async def work(ask: Callable[[], Awaitable[int]]) -> None:
+    async def send_rest(ask: Callable[[], Awaitable[int]]) -> None:
         nonlocal left
         while left > 0:
             left -= 1
             answers[await ask()] += 1
 
-    gate = asyncio.Semaphore(64)
+    senders = asyncio.Semaphore(64)
 
     async def bounded(ask: Callable[[], Awaitable[int]]) -> None:
-        async with gate:
+        async with senders:
             if count > 64:
                 for _ in range(max(1, requests // count)):
                     answers[await ask()] += 1
             else:
-                await work(ask)
+                await send_rest(ask)
 
     begun_s = time.monotonic()
     await asyncio.gather(*(bounded(ask) for ask in asks))
     took_s = time.monotonic() - begun_s
     done = sum(answers.values())
-    us = (cpu_s(b.proxy) - opened) / done * 1e6
+    us = (cpu_s(fixture.proxy) - opened) / done * 1e6
     print(
         f"{protocol:9} {count:5} connections: {us:5.0f} us of CPU a request, {held_kb / count:6.1f} KB and "
         f"{(opened - begun) / count * 1000:5.2f} ms of CPU a connection; {done / took_s:5.0f} a second, "
@@ -211,35 +218,41 @@
 
 
 async def cost(requests: int) -> None:
+    """Measure each protocol with 1, 64 and 1,000 connections, on a new proxy each time."""
     for count in (1, 64, 1000):
         for protocol in ("HTTP/1.1", "HTTP/3"):
             with tempfile.TemporaryDirectory() as folder:
-                async with both(Path(folder), 2100, 8, {"limits": ROOM}) as b:
-                    await one(b, protocol, count, requests)
+                async with run_dual_protocol_proxy(Path(folder), 2100, 8, {"limits": LIMITS}) as fixture:
+                    await measure(fixture, protocol, count, requests)
 
 
 # Both under load
 
 
-class Faulty:
-    """5 to 30 ms of work; one request in 50 fails or is cut off after it ran, now and then all wait 0.4 s."""
+class FaultyServer:
+    """A server with 5 to 30 ms of work per request.
+
+    One request in 50 fails or is cut off after it ran, and a request in 500 makes all wait for 0.4 s.
+    """
 
     def __init__(self, runs: Counter[str], rng: random.Random) -> None:
         self._runs, self._rng, self._pause_until = runs, rng, 0.0
 
     async def work(self, name: str, keyed: bool) -> str:
+        """Do the work of a request and draw how it ends."""
         now_s = time.monotonic()
         if self._rng.random() < 0.002:
             self._pause_until = now_s + 0.4
         await asyncio.sleep(max(0.0, self._pause_until - now_s) + self._rng.uniform(0.005, 0.03))
         if not keyed:
-            self._runs[name] += 1  # a keyed repeat is dropped by real servers
-        fate = self._rng.random()
-        return "cut off" if fate < 0.01 else "error" if fate < 0.02 else "ok"
+            self._runs[name] += 1  # real servers drop the repeat of a keyed request
+        drawn = self._rng.random()
+        return "cut off" if drawn < 0.01 else "error" if drawn < 0.02 else "ok"
 
     async def by_http1(self, seen: Seen, writer: asyncio.StreamWriter) -> None:
-        told = seen.message.headers
-        match await self.work(told["x-request-id"], "idempotency-key" in told):
+        """Answer a request over HTTP/1.1."""
+        headers = seen.message.headers
+        match await self.work(headers["x-request-id"], "idempotency-key" in headers):
             case "cut off":
                 writer.transport.abort()
             case "error":
@@ -247,27 +260,29 @@
             case _:
                 writer.write(ok(b"y" * 200, b"X-Server-Load: inflight=3,queue=1\r\n"))
 
-    async def by_http3(self, asked: Asked) -> None:
-        how = await self.work(asked.id, b"idempotency-key" in asked.fields)
-        if asked.peer.over is not None or asked.number in asked.peer.host.stops:
+    async def by_http3(self, request: ServerRequest) -> None:
+        """Answer a request over HTTP/3."""
+        outcome = await self.work(request.id, b"idempotency-key" in request.fields)
+        if request.peer.termination is not None or request.stream_id in request.peer.host.stop_codes:
             return
-        with suppress(Exception):  # the proxy may have called it off in this very step
-            match how:
+        with suppress(Exception):  # the proxy may cancel the request within this event loop step
+            match outcome:
                 case "cut off":
-                    asked.reset(0x102)
+                    request.reset(0x102)
                 case "error":
-                    asked.answer(b"", 500)
+                    request.answer(b"", 500)
                 case _:
-                    asked.answer(b"y" * 200, x_server_load="inflight=3,queue=1")
+                    request.answer(b"y" * 200, x_server_load="inflight=3,queue=1")
 
 
-class Behind:
-    """A server on HTTP/3 whose datagrams pass a box that loses some."""
+class HostBehindNat:
+    """A server on HTTP/3 whose datagrams pass a NAT that drops some."""
 
     def __init__(self, host: QuicHost, nat: Nat) -> None:
         self.name, self._host, self._nat = host.name, host, nat
 
     def entry(self, state: str = "active") -> dict[str, Any]:
+        """The host's entry in the list of servers, with the address of the NAT."""
         return {**self._host.entry(state), "addr": "{}:{}".format(*self._nat.address)}
 
 
@@ -281,8 +296,11 @@
 """
 
 
-def opened(client: QuicClient, target: str) -> int | None:
-    """A request on a stream; None while the server lets the client open no more (its library would raise)."""
+def try_send(client: QuicClient, target: str) -> int | None:
+    """Send a request and return its stream id; None while the server's stream limit is reached.
+
+    The library raises in that case.
+    """
     try:
         return client.send(target, b"x" * 100)
     except Exception as error:
@@ -292,45 +310,45 @@
 
 
 async def mixed(seconds: float, clients: float, servers: float, seed: int, loss: float) -> None:
-    """An open load; a share of its clients and of ten servers on HTTP/3, through boxes that lose packets."""
+    """Run an open load with a share of the clients and of ten servers on HTTP/3, through lossy NATs."""
     rng = random.Random(seed)
     runs: Counter[str] = Counter()
     answers: Counter[int] = Counter()
     took_ms: list[float] = []
     nats: list[Nat] = []
     with tempfile.TemporaryDirectory() as folder:
-        found = Both(Path(folder))
+        fixture = DualProtocolProxy(Path(folder))
         hosts: list[Listable] = []
         quics: list[QuicHost] = []
         for i in range(10):
-            faulty = Faulty(runs, random.Random(seed + i))
+            faulty = FaultyServer(runs, random.Random(seed + i))
             if i >= 10 * servers:
                 hosts.append(await Host(f"s-{i}", faulty.by_http1).start())
                 continue
-            quics.append(await QuicHost(f"s-{i}", found.files, faulty.by_http3).start())
+            quics.append(await QuicHost(f"s-{i}", fixture.files, faulty.by_http3).start())
             nats.append(await Nat(seed + i, ("127.0.0.1", quics[-1].port)).start())
-            hosts.append(Behind(quics[-1], nats[-1]))
+            hosts.append(HostBehindNat(quics[-1], nats[-1]))
         if quics:
             names = [host.name for host in quics]
-            with found.box.file.open("a") as file:
-                file.write(CARRIER.format(names=names, authority=found.authority.file))
-        more, environ = {"limits": ROOM}, found.box.environ
+            with fixture.box.file.open("a") as file:
+                file.write(CARRIER.format(names=names, authority=fixture.authority.file))
+        more, environ = {"limits": LIMITS}, fixture.box.environ
         async with running(await Discovery().start(), hosts, environ=environ, more=more) as proxy:
-            nats.append(await Nat(seed, ("127.0.0.1", found.port)).start())
+            nats.append(await Nat(seed, ("127.0.0.1", fixture.port)).start())
             for nat in nats:
-                nat.out.loss = nat.home.loss = loss
-            by3 = [await QuicClient(nats[-1].address, found.authority.file).open() for _ in range(8)]
+                nat.to_server.loss = nat.to_clients.loss = loss
+            by3 = [await QuicClient(nats[-1].address, fixture.authority.file).open() for _ in range(8)]
             idle: list[Client] = []
 
             async def ask(target: str, http3: bool, at_s: float) -> None:
                 if http3:
                     client = rng.choice(by3)
-                    while (number := opened(client, target)) is None:
+                    while (stream_id := try_send(client, target)) is None:
                         await asyncio.sleep(0.005)
-                    reply = await client.reply(number)
+                    reply = await client.reply(stream_id)
                     status = reply.status
                     if not status:
-                        raise ConnectionError(f"reset {reply.reset}, connection {client.over}")
+                        raise ConnectionError(f"reset {reply.reset}, connection {client.termination}")
                 else:
                     plain = idle.pop() if idle else await proxy.client()
                     answer = await plain.ask(target, body=b"x" * 100)
@@ -365,49 +383,54 @@
         f"clients {clients:4.0%}, servers {servers:4.0%} by HTTP/3: {len(tasks)} requests, answers "
         f"{dict(answers)}, none for {len(lost)}, entry-registers run twice {doubled}; p50 {at[0.5]:.0f} "
         f"p95 {at[0.95]:.0f} p99 {at[0.99]:.0f} ms; proxy's CPU {cpu_share:.0%}; datagrams lost "
-        f"{sum(nat.out.lost + nat.home.lost for nat in nats)}",
+        f"{sum(nat.to_server.lost + nat.to_clients.lost for nat in nats)}",
         *map(str, lost[:3]), sep="; ", flush=True,
     )  # fmt: skip
 
 
 # A flood
 
-FLOOD_RATE = 5000  # forged first packets a second
+FLOOD_RATE = 5000  # forged Initial packets a second
 
 
 async def flood(seconds: float) -> None:
-    """What each protocol's clients notice of it, in one run on one proxy."""
+    """Measure the latency of each protocol's clients without and with the flood, on one proxy."""
     with tempfile.TemporaryDirectory() as folder:
-        async with both(Path(folder), 200, 8, {"limits": ROOM}) as b:
-            http3, http1 = await b.client(), await b.proxy.client()
-            first = QuicClient(("127.0.0.1", b.port), b.authority.file, "aioquic")
-            first.quic.connect(("127.0.0.1", b.port), now=time.monotonic())
+        async with run_dual_protocol_proxy(Path(folder), 200, 8, {"limits": LIMITS}) as fixture:
+            http3, http1 = await fixture.client(), await fixture.proxy.client()
+            first = QuicClient(("127.0.0.1", fixture.port), fixture.authority.file, "aioquic")
+            first.quic.connect(("127.0.0.1", fixture.port), now=time.monotonic())
             initial = first.quic.datagrams_to_send(now=time.monotonic())[0][0]
             for rate in (0, FLOOD_RATE):
                 stop = asyncio.Event()
-                flooding = asyncio.create_task(forge(b.port, initial, rate, stop))
+                flooding = asyncio.create_task(forge(fixture.port, initial, rate, stop))
                 took: dict[str, list[float]] = {"HTTP/1.1": [], "HTTP/3": []}
-                failed, before, begun_s = 0, cpu_s(b.proxy), time.monotonic()
+                failed, before, begun_s = 0, cpu_s(fixture.proxy), time.monotonic()
                 while time.monotonic() - begun_s < seconds:
                     for name, ask in (("HTTP/1.1", http1.ask), ("HTTP/3", http3.ask)):
                         at_s = time.monotonic()
                         failed += (await ask("/unsafe", body=b"x")).status != 200
                         took[name].append((time.monotonic() - at_s) * 1000)
                     await asyncio.sleep(0.005)
-                share = (cpu_s(b.proxy) - before) / (time.monotonic() - begun_s)
+                share = (cpu_s(fixture.proxy) - before) / (time.monotonic() - begun_s)
                 stop.set()
                 sent = await flooding
-                line = await b.box.line()
-                told = (await line.result("status"))["protocols"]["HTTP/3 from clients"]
+                connection = await fixture.box.connect()
+                counts = (await connection.result("status"))["protocols"]["HTTP/3 from clients"]
                 for name, found in took.items():
                     found.sort()
                     p50, p99 = found[len(found) // 2], found[int(len(found) * 0.99)]
                     print(f"{rate} a second: {name} {len(found)} served, p50 {p50:.1f} p99 {p99:.1f} ms")
-                print(f"  {sent} forged, {failed} failed; {share:.0%} CPU, {rss_kb(b.proxy)} KB; {told}")
+                print(
+                    f"  {sent} forged, {failed} failed; {share:.0%} CPU, {rss_kb(fixture.proxy)} KB; {counts}"
+                )
 
 
 async def forge(port: int, initial: bytes, rate: int, stop: asyncio.Event) -> int:
-    """First packets of one connection id each, from eight ports: as an attacker's with forged sources."""
+    """Send Initial packets with a new connection id each, from eight ports.
+
+    That is like an attacker with forged source addresses. Returns how many were sent.
+    """
     socks = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(8)]
     for sock in socks:
         sock.setblocking(False)
@@ -415,7 +438,7 @@
     while not stop.is_set():
         while rate and sent < (time.monotonic() - begun_s) * rate:
             data = bytearray(initial)
-            data[6:14] = os.urandom(8)  # another destination id: another connection
+            data[6:14] = os.urandom(8)  # a new destination connection id, so a new connection
             with suppress(OSError):
                 socks[sent % 8].sendto(data, ("127.0.0.1", port))
             sent += 1
@@ -426,24 +449,25 @@
 
 
 def main() -> None:
+    """Run the selected measurements."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("what", nargs="*", default=["libraries", "cost"])
     parser.add_argument("--requests", type=int, default=6000)
     parser.add_argument("--seconds", type=float, default=10.0)
     parser.add_argument("--seeds", type=int, default=1)
     parser.add_argument("--loss", type=float, default=0.02)
-    told = parser.parse_args()
+    options = parser.parse_args()
     logging.disable(logging.CRITICAL)
-    if "libraries" in told.what:
-        libraries(told.requests)
-    if "mixed" in told.what:
-        for seed in range(told.seeds):
+    if "libraries" in options.what:
+        libraries(options.requests)
+    if "mixed" in options.what:
+        for seed in range(options.seeds):
             for clients, servers in ((0.0, 0.0), (0.5, 0.0), (0.0, 0.5), (0.5, 0.5), (1.0, 1.0)):
-                asyncio.run(mixed(told.seconds, clients, servers, seed, told.loss))
-    if "flood" in told.what:
-        asyncio.run(flood(told.seconds))
-    if "cost" in told.what:
-        asyncio.run(cost(told.requests))
+                asyncio.run(mixed(options.seconds, clients, servers, seed, options.loss))
+    if "flood" in options.what:
+        asyncio.run(flood(options.seconds))
+    if "cost" in options.what:
+        asyncio.run(cost(options.requests))
 
 
 if __name__ == "__main__":
--- a/benchmarks/lab.py
+++ b/benchmarks/lab.py
@@ -1,13 +1,13 @@
-"""What the lab costs, how it scales, and how near it comes to sockets.
+"""Measure what the lab costs, how it scales, and how close its results are to those on sockets.
 
     python -m benchmarks.lab [cost] [scale] [load] [reality] [order] [loops]
 
-cost: a run against its modules' decisions alone, fed from memory (aim: at most twice as long), in turns
-within one process. scale: a sweep of 1,000 runs with 1 and with 8 workers (aim: 6 times as fast). load: the
-load generator's ceiling with one process, against a bare sink (aim: over 5,000 requests a second). reality:
-six scenarios on both drivers (aim: served in aim within 3 points of 100, median within 15%). order: the
-users' kinds of days, drawn from their ranges, the worst first. loops: events a second of the engine and,
-where it is installed, of SimPy.
+cost: a run compared with its modules' decisions alone, replayed from memory, in turns within one process
+(aim: at most twice as long). scale: a sweep of 1,000 runs with 1 and with 8 workers (aim: 6 times as fast).
+load: the load generator's maximum rate with one process, against a minimal server (aim: over 5,000 requests
+a second). reality: six scenarios on both drivers (aim: the share served in aim within 3 points of 100, the
+median within 15%). order: the users' kinds of days, drawn from their ranges, the worst first. loops: events a
+second of the engine and, where it is installed, of SimPy.
 """
 
 from __future__ import annotations
@@ -32,33 +32,45 @@
 from cloverrouter.lab.records import Store
 from cloverrouter.lab.scenario import Scenario, build, change, load, plain
 from cloverrouter.lab.simulation import Simulation, simulate
-from cloverrouter.lab.sockets import play
+from cloverrouter.lab.sockets import run_on_sockets
 from cloverrouter.lab.sweep import interval, sweep
 from cloverrouter.lab.text import table
-from cloverrouter.lab.workers import Run, spread
+from cloverrouter.lab.workers import Run, run_all
 
 ROUNDS = 5
-REAL = ("calm", "wedding-saturday", "rolling-release", "vanished-machine", "hall-lost", "fast-errors")
+REALITY_SCENARIOS = (
+    "calm",
+    "wedding-saturday",
+    "rolling-release",
+    "vanished-machine",
+    "hall-lost",
+    "fast-errors",
+)
 
 
 def cost() -> None:
+    """Compare the time of whole runs with that of the same decisions replayed from memory."""
     rows = []
     for name in ("calm", "wedding-saturday", "rolling-release", "overload"):
         scenario, seed = load(name), 1
-        told: dict[decide.Balancer, list[tuple[float, list[Event]]]] = {}
+        events_of: dict[decide.Balancer, list[tuple[float, list[Event]]]] = {}
         original = decide.Balancer.handle
 
         def recording(
-            self: decide.Balancer, now_ms: float, events: Any, original: Any = original, told: Any = told
+            self: decide.Balancer,
+            now_ms: float,
+            events: Any,
+            original: Any = original,
+            events_of: Any = events_of,
         ) -> Any:
-            told.setdefault(self, []).append((now_ms, list(events)))
+            events_of.setdefault(self, []).append((now_ms, list(events)))
             return original(self, now_ms, events)
 
         setattr(decide.Balancer, "handle", recording)  # noqa: B010
         recorded = Simulation(scenario, seed)
         recorded.run()
         setattr(decide.Balancer, "handle", original)  # noqa: B010
-        asked = recorded.account.tries
+        requests = recorded.account.tries
         whole, alone = [], []
         for _ in range(ROUNDS):
             gc.collect()
@@ -67,7 +79,7 @@
             whole.append(time.process_time() - begun)
             fresh = [
                 (decide.Balancer(balancer.settings, number + 1), log)
-                for (balancer, log), number in zip(told.items(), recorded.seeds, strict=True)
+                for (balancer, log), number in zip(events_of.items(), recorded.seeds, strict=True)
             ]
             gc.collect()
             begun = time.process_time()
@@ -75,13 +87,14 @@
                 for now_ms, events in log:
                     balancer.handle(now_ms, events)
             alone.append(time.process_time() - begun)
-        ratio = statistics.median(one / other for one, other in zip(whole, alone, strict=True))
-        per_s = [f"{asked / statistics.median(times):.0f}" for times in (whole, alone)]
+        ratio = statistics.median(run_s / replay_s for run_s, replay_s in zip(whole, alone, strict=True))
+        per_s = [f"{requests / statistics.median(times):.0f}" for times in (whole, alone)]
         rows.append([name, *per_s, f"{ratio:.2f}"])
     print("\n".join(table(["scenario", "requests/s", "modules alone", "times as long"], rows)))
 
 
 def scale() -> None:
+    """Compare a sweep with 1 worker and with 8."""
     scenario = change(change(load("village"), "fault[0].at_s", 2.0), "seconds", 10.0)
     rows, first = [], 0.0
     for jobs in (1, 8):
@@ -97,7 +110,7 @@
 
 
 class Sink(asyncio.Protocol):
-    """Answers whatever ends in an empty line and four bytes, or none, with a bare 200."""
+    """Answer each request line received with a minimal 200, without parsing the requests."""
 
     def connection_made(self, transport: Any) -> None:
         self._transport = transport
@@ -109,6 +122,8 @@
 
 
 def sink(ready: Any) -> None:
+    """Serve `Sink` for two minutes, in a process of its own, and send its port over the pipe `ready`."""
+
     async def serve() -> None:
         loop = asyncio.get_running_loop()
         server = await loop.create_server(Sink, "127.0.0.1", 0)
@@ -118,11 +133,12 @@
     asyncio.run(serve())
 
 
-def ceiling() -> None:
-    ours, theirs = multiprocessing.Pipe()
-    process = multiprocessing.get_context("spawn").Process(target=sink, args=(theirs,), daemon=True)
+def load_limit() -> None:
+    """Measure the load generator's maximum rate against `Sink`."""
+    receiving_end, sending_end = multiprocessing.Pipe()
+    process = multiprocessing.get_context("spawn").Process(target=sink, args=(sending_end,), daemon=True)
     process.start()
-    port = ours.recv()
+    port = receiving_end.recv()
     rows = []
     for processes, rates in ((1, (2000, 4000, 5000, 6000, 7000, 8000)), (2, (10_000,))):
         for rate in rates:
@@ -135,17 +151,18 @@
 
 
 def reality() -> None:
+    """Compare the model's figures with those of the same scenarios on sockets."""
     rows = []
-    for name in REAL:
+    for name in REALITY_SCENARIOS:
         scenario = load(name)
-        model, real = simulate(scenario, 1), play(scenario, 1)
-        one, other = model.figures, real.figures
+        model, real = simulate(scenario, 1), run_on_sockets(scenario, 1)
+        simulated, measured = model.figures, real.figures
         rows.append([
-            name, f"{100 * one.in_aim:.1f}", f"{100 * other.in_aim:.1f}",
-            f"{100 * (one.in_aim - other.in_aim):+.1f}",
-            f"{one.p50_ms:.0f}", f"{other.p50_ms:.0f}", f"{100 * (one.p50_ms / other.p50_ms - 1):+.0f}%",
-            f"{one.p99_ms:.0f}", f"{other.p99_ms:.0f}", f"{other.cpu_us_per_request or 0:.0f}",
-            f"{other.late_ms or 0:.1f}", model.broken or real.broken or "kept",
+            name, f"{100 * simulated.in_aim:.1f}", f"{100 * measured.in_aim:.1f}",
+            f"{100 * (simulated.in_aim - measured.in_aim):+.1f}", f"{simulated.p50_ms:.0f}",
+            f"{measured.p50_ms:.0f}", f"{100 * (simulated.p50_ms / measured.p50_ms - 1):+.0f}%",
+            f"{simulated.p99_ms:.0f}", f"{measured.p99_ms:.0f}", f"{measured.cpu_us_per_request or 0:.0f}",
+            f"{measured.late_ms or 0:.1f}", model.broken or real.broken or "kept",
         ])  # fmt: skip
         print(rows[-1], file=sys.stderr)
     head = [
@@ -166,7 +183,7 @@
 
 
 def day_of(kind: str, seed: int) -> Scenario:
-    """A day of the users' kind, drawn from the ranges that they state for their site."""
+    """A day of this kind, drawn from the ranges that the users state for their site."""
     draws = Draws(seed, "order", kind)
 
     def between(least: float, most: float) -> float:
@@ -181,19 +198,24 @@
     share = between(0.54, 0.7)
     mean_ms = share * work_ms["extract-issue"] + (1 - share) * work_ms["entry-register"]
     speed = 0.3 * 1.5 + 0.7 * 0.97
-    ends = {"at_s": round(between(2, 12), 1), "for_s": 0.0}
+    period = {"at_s": round(between(2, 12), 1), "for_s": 0.0}
     fault: dict[str, Any] = {}
     if kind == "fast_errors":
-        ends["for_s"] = between(5.7, 29)
-        fault = {"kind": "fail", "part": between(0.077, 0.19), "share": between(0.37, 0.97), **ends}
+        period["for_s"] = between(5.7, 29)
+        fault = {"kind": "fail", "part": between(0.077, 0.19), "share": between(0.37, 0.97), **period}
         fault["part"] = max(fault["part"], 1 / servers)
     elif kind == "pauses":
-        ends["for_s"] = between(10, 34)
-        fault = {"kind": "pauses", "part": between(0.17, 0.43), "pause_ms": between(120, 390), **ends}
+        period["for_s"] = between(10, 34)
+        fault = {"kind": "pauses", "part": between(0.17, 0.43), "pause_ms": between(120, 390), **period}
         fault["every_s"] = between(0.87, 2.5)
     elif kind == "heavy_tail":
-        ends["for_s"] = between(10, 29)
-        fault = {"kind": "heavy", "share": log_between(0.0062, 0.028), "factor": log_between(5.5, 30), **ends}
+        period["for_s"] = between(10, 29)
+        fault = {
+            "kind": "heavy",
+            "share": log_between(0.0062, 0.028),
+            "factor": log_between(5.5, 30),
+            **period,
+        }
         fault["classes"] = draws.pick(list(work_ms), 1)
     scenario = plain(load("calm"))
     scenario["seconds"] = float(seconds)
@@ -211,13 +233,12 @@
 
 
 def order() -> None:
-    """Kinds of days by the worth that they cost, to be laid beside what the users' bench says of the same
-    kinds."""
+    """Rank the kinds of days by their worth in aim, to compare with the users' benchmark of these kinds."""
     rows = []
     for kind in ("quiet", "pauses", "heavy_tail", "fast_errors", "overload"):
         worths = [
             end.result.figures.worth
-            for end in spread([Run(seed, plain(day_of(kind, seed)), seed) for seed in range(1, 13)], 8)
+            for end in run_all([Run(seed, plain(day_of(kind, seed)), seed) for seed in range(1, 13)], 8)
             if end.result is not None
         ]
         mean, low, high = interval(worths)
@@ -227,60 +248,61 @@
 
 
 def loops() -> None:
-    """A million waits of a thousand parties."""
-    parties, waits = 1000, 300
+    """Compare the engine's events a second with SimPy's, for 1,000 processes of 300 timeouts each."""
+    processes, timeouts = 1000, 300
 
-    def ours() -> None:
+    def run_engine() -> None:
         engine = Engine()
 
         def step(left: int) -> None:
             if left:
                 engine.call_later(1.0, step, left - 1)
 
-        for _ in range(parties):
-            engine.call_later(1.0, step, waits)
-        engine.run(waits + 10)
+        for _ in range(processes):
+            engine.call_later(1.0, step, timeouts)
+        engine.run(timeouts + 10)
 
-    candidates: list[tuple[str, Callable[[], None]]] = [("engine", ours)]
+    candidates: list[tuple[str, Callable[[], None]]] = [("engine", run_engine)]
     try:
         simpy = importlib.import_module("simpy")
     except ImportError:
-        print("SimPy is not installed: the engine alone")
+        print("SimPy is not installed; measuring the engine alone")
     else:
 
-        def theirs() -> None:
+        def run_simpy() -> None:
             environment = simpy.Environment()
 
-            def party() -> Any:
-                for _ in range(waits):
+            def process() -> Any:
+                for _ in range(timeouts):
                     yield environment.timeout(1.0)
 
-            for _ in range(parties):
-                environment.process(party())
+            for _ in range(processes):
+                environment.process(process())
             environment.run()
 
-        candidates.append(("SimPy", theirs))
+        candidates.append(("SimPy", run_simpy))
     for name, run in candidates:
         times = []
         for _ in range(ROUNDS):
             begun = time.process_time()
             run()
             times.append(time.process_time() - begun)
-        print(f"{name}: {parties * waits / statistics.median(times):,.0f} events a second")
+        print(f"{name}: {processes * timeouts / statistics.median(times):,.0f} events a second")
 
 
 def main() -> None:
-    words = {
+    """Run the benchmarks named on the command line, or all of them."""
+    benchmarks = {
         "cost": cost,
         "scale": scale,
-        "load": ceiling,
+        "load": load_limit,
         "reality": reality,
         "order": order,
         "loops": loops,
     }
-    for word in sys.argv[1:] or list(words):
-        print(f"\n{word}")
-        words[word]()
+    for name in sys.argv[1:] or list(benchmarks):
+        print(f"\n{name}")
+        benchmarks[name]()
 
 
 if __name__ == "__main__":
--- a/benchmarks/leavers.py
+++ b/benchmarks/leavers.py
@@ -1,12 +1,13 @@
-"""Clients that leave while their requests wait: how many are sent on all the same, and how late.
+"""Clients that disconnect while their requests wait: how many of these are still sent to a server, and when.
 
     python benchmarks/leavers.py [--clients 10]
 
-One proxy on loopback for each cell, by where the request waits and how its client leaves. A row: left, sent
-on later than 0.1 s after that, with room for all of them only then; how long after it the last one was sent
-on where there is room at once; and where a server shows it, how long until the proxy gave the attempt up.
-`stays` is the check of the measurement: clients that do not leave are to be sent on. Exit code 1 if any other
-was.
+Runs proxies on loopback for each combination of where the request waits and how its client leaves, with
+servers that have capacity again only 0.1 s later, and with servers that have it at once. Each row reports:
+clients that left; requests sent to a server later than 0.1 s after that; the time until the last one was
+sent, with capacity at once; and, where a server can see it, the time until the proxy abandoned the attempt.
+`stays` is a control: requests of clients that do not leave must be sent. The exit code is 1 if any other
+request was sent late.
 """
 
 from __future__ import annotations
@@ -28,13 +29,15 @@
 from cloverrouter.proxy.sockets import has_unread_data
 
 LATE_S = 0.1
-LONG = {
+LONG_DEADLINE_SETTINGS = {
     "categories": [{**c, "aim_ms": 8000, "deadline_ms": 9000} for c in SETTINGS["categories"]],
     "bounds": {"max_attempts": 3, "connect_timeout_ms": 2000.0, "conn_idle_ms": 60_000.0},
 }
 
 
 class Row(NamedTuple):
+    """Result for one place of waiting and one way to leave."""
+
     where: str
     how: str
     left: int
@@ -44,75 +47,83 @@
 
 
 def fin(client: socket.socket) -> None:
+    """Close the connection normally (FIN)."""
     client.close()
 
 
 def rst(client: socket.socket) -> None:
+    """Reset the connection (RST)."""
     client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     client.close()
 
 
 def half_close(client: socket.socket) -> None:
+    """Close only the sending side."""
     client.shutdown(socket.SHUT_WR)
 
 
 def stays(client: socket.socket) -> None:
-    """It waits on."""
+    """Leave the connection open and keep waiting."""
 
 
 def request(name: str, target: str, length: int = 0) -> bytes:
+    """Return the head of a POST request with `name` as its request id."""
     key = f"Idempotency-Key: k{name}\r\n" if target == "/keyed" else ""
     head = f"POST {target} HTTP/1.1\r\nX-Request-ID: {name}\r\n{key}X-Timeout-Ms: 8500\r\n"
     return f"{head}Content-Length: {length}\r\n\r\n".encode()
 
 
-async def asked(proxy: Proxy, data: bytes) -> socket.socket:
+async def send_request(proxy: Proxy, data: bytes) -> socket.socket:
+    """Send `data` over a new connection to the proxy, and return the connection."""
     client = socket.create_connection(proxy.endpoint)
     client.setblocking(False)
     await asyncio.get_running_loop().sock_sendall(client, data)
     return client
 
 
-async def retries(leave: Callable[[socket.socket], None], count: int) -> Row:
-    """Each is reset once by the server, and its client leaves while it waits to be tried again."""
-    tries: dict[str, list[float]] = {}
+async def measure_retries(leave: Callable[[socket.socket], None], count: int) -> Row:
+    """The server resets each request once, and its client leaves while the request waits for its retry."""
+    attempts_s: dict[str, list[float]] = {}
 
     async def respond(seen: Seen, writer: Any) -> None:
         name = seen.message.headers["x-request-id"]
-        tries.setdefault(name, []).append(time.monotonic())
-        if name.startswith("c") and len(tries[name]) == 1:
+        attempts_s.setdefault(name, []).append(time.monotonic())
+        if name.startswith("c") and len(attempts_s[name]) == 1:
             writer.transport.abort()
         else:
             writer.write(ok())
 
     host, late = await Host("h0", respond).start(), 0
     worst_s: float | None = None
-    async with running(await Discovery().start(), [host], settings=LONG) as proxy:
+    async with running(await Discovery().start(), [host], settings=LONG_DEADLINE_SETTINGS) as proxy:
         for i in range(count):
-            usual = await proxy.client()  # else a server that only resets is paused
-            assert (await usual.ask("/unsafe")).status == 200
-            client = await asked(proxy, request(f"c{i}", "/keyed"))
+            healthy_client = await proxy.client()  # otherwise the proxy pauses a server that only resets
+            assert (await healthy_client.ask("/unsafe")).status == 200
+            client = await send_request(proxy, request(f"c{i}", "/keyed"))
             name = f"c{i}"
-            await host.wait(lambda name=name: name in tries)  # type: ignore[misc]
+            await host.wait(lambda name=name: name in attempts_s)  # type: ignore[misc]
             left_s = time.monotonic()
             leave(client)
-            await asyncio.sleep(0.7)  # the first wait is 0.1 to 0.3 s
-            late += len(tries[name]) > 1 if leave is stays else tries[name][-1] > left_s + 0.02
-            if len(tries[name]) > 1:
-                worst_s = max(worst_s or 0.0, tries[name][-1] - left_s)
+            await asyncio.sleep(0.7)  # the first retry delay is 0.1 to 0.3 s
+            late += len(attempts_s[name]) > 1 if leave is stays else attempts_s[name][-1] > left_s + 0.02
+            if len(attempts_s[name]) > 1:
+                worst_s = max(worst_s or 0.0, attempts_s[name][-1] - left_s)
             client.close()
     return Row("a retry", leave.__name__, count, late, worst_s, None)
 
 
-async def cell(where: str, leave: Callable[[socket.socket], None], count: int) -> Row:
-    """With room for those that wait once that would be late, and with room at once."""
-    then, now = [await scene(where, leave, count, room_s) for room_s in (LATE_S, 0.0)]
-    return then._replace(late=then.late + now.late, worst_s=now.worst_s)
+async def measure_case(where: str, leave: Callable[[socket.socket], None], count: int) -> Row:
+    """Run a case twice: with servers that have capacity only after `LATE_S`, and with capacity at once."""
+    delayed, immediate = [await run_case(where, leave, count, delay_s) for delay_s in (LATE_S, 0.0)]
+    return delayed._replace(late=delayed.late + immediate.late, worst_s=immediate.worst_s)
 
 
-async def scene(where: str, leave: Callable[[socket.socket], None], count: int, room_s: float) -> Row:
+async def run_case(
+    where: str, leave: Callable[[socket.socket], None], count: int, capacity_delay_s: float
+) -> Row:
+    """Run one case, with server capacity for the waiting requests `capacity_delay_s` after clients left."""
     seen_s: dict[str, float] = {}
-    closed: dict[int, float] = {}
+    abandoned_s: dict[int, float] = {}
 
     async def respond(seen: Seen, writer: Any) -> None:
         seen_s.setdefault(seen.message.headers["x-request-id"], time.monotonic())
@@ -130,11 +141,11 @@
             filler.setblocking(False)
             filler.connect_ex(("127.0.0.1", host.port))
             fillers.append(filler)
-    memory_mb = 10 if where == "the module, held back" else 192  # so little that no body is held
+    memory_mb = 10 if where == "the module, held back" else 192  # with 10 MB no body is buffered
     more = {"limits": {"cores": 1.0, "memory_mb": memory_mb, "sockets": 24 + 4 * count + 40}}
-    async with running(discovery, [host], settings=LONG, more=more) as proxy:
-        if where not in ("a connection", "nothing"):  # fill the server: all others wait in the module
-            blockers = [await asked(proxy, request(f"b{i}", "/unsafe")) for i in range(12)]
+    async with running(discovery, [host], settings=LONG_DEADLINE_SETTINGS, more=more) as proxy:
+        if where not in ("a connection", "nothing"):  # saturate the server: others wait in the module
+            blockers = [await send_request(proxy, request(f"b{i}", "/unsafe")) for i in range(12)]
             await host.wait(lambda: len(host.seen) >= 1)
             await asyncio.sleep(0.1)
         else:
@@ -149,7 +160,7 @@
                 data = request(f"f{i}", target) + data
             if where == "the module, held back":
                 data = request(f"c{i}", target, 100_000) + b"x" * 100_000
-            clients.append(await asked(proxy, data))
+            clients.append(await send_request(proxy, data))
         if where == "nothing":
             await host.wait(lambda: len(host.seen) >= 1)
             await asyncio.sleep(0.03)
@@ -159,16 +170,16 @@
         open_before = set(host.open)
         left_s, left = time.monotonic(), 0
         for client in clients:
-            if not has_unread_data(client):  # it waits: neither answered nor closed
+            if not has_unread_data(client):  # still waiting: neither answered nor closed
                 left += 1
                 leave(client)
-        if where == "nothing":  # they are at the server: how soon it sees them given up
+        if where == "nothing":  # already at the server: measure when it sees the attempts abandoned
             async with asyncio.timeout(10):
                 while open_before & set(host.open):
                     await asyncio.sleep(0.002)
-            closed[0] = time.monotonic() - left_s
-        if room_s:
-            await asyncio.sleep(room_s)
+            abandoned_s[0] = time.monotonic() - left_s
+        if capacity_delay_s:
+            await asyncio.sleep(capacity_delay_s)
         for filler in fillers:
             filler.close()
         if where == "a connection":
@@ -182,27 +193,27 @@
                     sock, _ = backlog.accept()
                     sock.settimeout(0.05)
                     with suppress(OSError):
-                        got = sock.recv(4096)
-                        if b"X-Request-ID: c" in got:
-                            name = got.split(b"X-Request-ID: ")[1].split(b"\r\n")[0].decode()
+                        received = sock.recv(4096)
+                        if b"X-Request-ID: c" in received:
+                            name = received.split(b"X-Request-ID: ")[1].split(b"\r\n")[0].decode()
                             seen_s[name] = time.monotonic()
                 await asyncio.sleep(0.005)
         else:
-            for _ in range(30):  # there is room now, again and again
+            for _ in range(30):  # answer repeatedly, to free capacity for the next ones
                 for writer in list(host.open.values()):
                     writer.write(ok())
                 await asyncio.sleep(0.05)
-        begun_s = [
+        delays_s = [
             at_s - left_s for name, at_s in seen_s.items() if name.startswith("c") and name not in before
         ]
-        late = sum(at_s > LATE_S for at_s in begun_s)
+        late = sum(at_s > LATE_S for at_s in delays_s)
         for sock in (*blockers, *clients):
             sock.close()
-    return Row(where, leave.__name__, left, late, max(begun_s, default=None), closed.get(0))
+    return Row(where, leave.__name__, left, late, max(delays_s, default=None), abandoned_s.get(0))
 
 
-WAYS = (fin, rst, half_close, stays)
-PLACES = (
+LEAVE_METHODS = (fin, rst, half_close, stays)
+WAITING_PLACES = (
     "the module",
     "another on its connection",
     "the module, held back",
@@ -214,14 +225,21 @@
 
 
 async def measure(count: int) -> list[Row]:
-    cells = ((where, leave) for where in PLACES for leave in WAYS if leave is not stays or where != "nothing")
+    """Return a row for each place of waiting and way to leave, with `count` clients each."""
+    cells = (
+        (where, leave)
+        for where in WAITING_PLACES
+        for leave in LEAVE_METHODS
+        if leave is not stays or where != "nothing"
+    )
     return [
-        await (retries(leave, count) if where == "a retry" else cell(where, leave, count))
+        await (measure_retries(leave, count) if where == "a retry" else measure_case(where, leave, count))
         for where, leave in cells
     ]
 
 
 def main() -> int:
+    """Print the rows; return 1 if a request was sent late for a client that had left."""
     parser = argparse.ArgumentParser(description=__doc__.split("\n")[0] if __doc__ else "")
     parser.add_argument("--clients", type=int, default=10)
     rows = asyncio.run(measure(parser.parse_args().clients))
--- a/benchmarks/stalls.py
+++ b/benchmarks/stalls.py
@@ -1,15 +1,16 @@
-"""A real proxy that is stopped under load: what its clients get, and what runs after their time.
+"""A real proxy whose process is paused under load: results of its clients, and work done after their timeout.
 
     python benchmarks/stalls.py [--runs 5] [--against CHECKOUT]
     python benchmarks/stalls.py --fleet [--runs 20] [--rate 290]
 
-Eight working servers, a descriptor limit of 256, an open load of clients that wait 1 s each, every other one
-with an entry-register, which it asks again under a new id when nothing came. `--against`: another checkout of
-this project, measured the same way by the same interpreter. Each row adds up all its runs.
+Eight servers, a descriptor limit of 256, and an open load of clients with a timeout of 1 s each. Every other
+client sends an entry-register, and sends it again under a new request id if no answer came. `--against`:
+measures another checkout of this project instead, with the same interpreter. Each row is the total of all its
+runs.
 
-`--fleet`: twelve proxies before ten servers in simulated time, all stopped at once, beside the same fleet
-that never is, over paired seeds: the worth served in its aim of what is asked in the 5 s after the wake.
-`--rate`: requests a second, over all.
+`--fleet`: twelve proxies in front of ten servers in simulated time, paused at the same moment, compared with
+the same fleet that is never paused, over paired seeds. The figure is the worth served within its aim, as a
+share of the worth requested in the 5 s after the pause. `--rate`: requests a second, over all proxies.
 """
 
 from __future__ import annotations
@@ -26,9 +27,9 @@
 
 from cloverrouter.lab.scenario import build, load, plain
 from cloverrouter.lab.simulation import simulate
-from cloverrouter.lab.stops import watch
+from cloverrouter.lab.stops import run_with_pauses
 
-ROWS: tuple[tuple[str, list[tuple[float, float]], float], ...] = (
+PAUSE_CASES: tuple[tuple[str, list[tuple[float, float]], float], ...] = (
     ("0.05 s", [(0.5, 0.05)], 100),
     ("0.5 s", [(0.5, 0.5)], 100),
     ("1.5 s", [(0.5, 1.5)], 30),
@@ -39,28 +40,29 @@
     ("10 x 0.4 s", [(0.1, 0.4)] * 10, 100),
     ("a tenth, 10 s", [(0.01, 0.09)] * 100, 30),
 )
-SHOWN = (
+COLUMNS = (
     "asked", "over", "served", "refused", "failed", "resets", "unanswered", "run late", "unsafe late",
     "twice", "kept back", "after", "after not served",
 )  # fmt: skip
 
 
 async def measure(runs: int, against: Path | None) -> None:
+    """Print a row for each pattern of pauses, from `runs` runs of a real proxy."""
     environ = None if against is None else {"PYTHONPATH": str(against)}
-    print("| stop | rate | " + " | ".join(SHOWN) + " |")
-    print("| --- " * (len(SHOWN) + 2) + "|")
-    for name, stops, rate in ROWS:
+    print("| stop | rate | " + " | ".join(COLUMNS) + " |")
+    print("| --- " * (len(COLUMNS) + 2) + "|")
+    for name, pauses, rate in PAUSE_CASES:
         totals: Counter[str] = Counter()
         for _ in range(runs):
-            seen = await watch(stops, rate, environ=environ)
-            totals.update({key: round(value) for key, value in seen.figures().items()})
-        print(f"| {name} | {rate:g} | " + " | ".join(str(totals[key]) for key in SHOWN) + " |", flush=True)
+            result = await run_with_pauses(pauses, rate, environ=environ)
+            totals.update({key: round(value) for key, value in result.figures().items()})
+        print(f"| {name} | {rate:g} | " + " | ".join(str(totals[key]) for key in COLUMNS) + " |", flush=True)
 
 
-SHIPPED = plain(load("stopped-fleet"))
-AT_S, LOOKED_S = 5, 5
+SHIPPED_SCENARIO = plain(load("stopped-fleet"))
+PAUSE_AT_S, OBSERVED_S = 5, 5
 RELEASE = {"kind": "release", "at_s": 3, "within_s": 2, "gap_s": 0.5, "part": 0.5}
-FLEET: tuple[tuple[str, list[dict[str, Any]]], ...] = (
+FLEET_CASES: tuple[tuple[str, list[dict[str, Any]]], ...] = (
     ("all stop for 0.5 s", [{"kind": "stop", "for_s": 0.5}]),
     ("all stop for 2 s", [{"kind": "stop", "for_s": 2}]),
     ("all stop for 8 s", [{"kind": "stop", "for_s": 8}]),
@@ -69,39 +71,41 @@
 )  # fmt: skip
 
 
-def fleet(runs: int, rate: float) -> None:
-    shipped = {**SHIPPED, "office": [{**SHIPPED["office"][0], "rate": rate}]}
+def measure_fleet(runs: int, rate: float) -> None:
+    """Print a row for each fleet case, from `runs` paired simulations."""
+    scenario = {**SHIPPED_SCENARIO, "office": [{**SHIPPED_SCENARIO["office"][0], "rate": rate}]}
     print("| what | worth after the wake | never stopped | difference, 95% | rules broken |")
     print("| --- | --- | --- | --- | --- |")
-    for name, faults in FLEET:
-        stopped: list[float] = []
-        never: list[float] = []
+    for name, faults in FLEET_CASES:
+        paused_shares: list[float] = []
+        unpaused_shares: list[float] = []
         broken = 0
         for seed in range(runs):
-            for kept, into in ((faults, stopped), (faults[1:], never)):
-                told = [{"at_s": AT_S, **fault} for fault in kept]
-                result = simulate(build({**shipped, "fault": told}), seed)
+            for case_faults, shares in ((faults, paused_shares), (faults[1:], unpaused_shares)):
+                timed_faults = [{"at_s": PAUSE_AT_S, **fault} for fault in case_faults]
+                result = simulate(build({**scenario, "fault": timed_faults}), seed)
                 broken += bool(result.broken)
-                from_s = AT_S + ceil(faults[0]["for_s"])
-                good = sum(result.series.good[from_s : from_s + LOOKED_S])
-                into.append(good / sum(result.series.asked[from_s : from_s + LOOKED_S]))
-        apart = [one - other for one, other in zip(stopped, never, strict=True)]
-        error = 1.96 * stdev(apart) / len(apart) ** 0.5
-        shown = f"{mean(stopped):.3f} | {mean(never):.3f} | {mean(apart):+.3f} +- {error:.3f}"
-        print(f"| {name} | {shown} | {broken} |", flush=True)
+                from_s = PAUSE_AT_S + ceil(faults[0]["for_s"])
+                good = sum(result.series.good[from_s : from_s + OBSERVED_S])
+                shares.append(good / sum(result.series.asked[from_s : from_s + OBSERVED_S]))
+        diffs = [paused - unpaused for paused, unpaused in zip(paused_shares, unpaused_shares, strict=True)]
+        error = 1.96 * stdev(diffs) / len(diffs) ** 0.5
+        cells = f"{mean(paused_shares):.3f} | {mean(unpaused_shares):.3f} | {mean(diffs):+.3f} +- {error:.3f}"
+        print(f"| {name} | {cells} | {broken} |", flush=True)
 
 
 def main() -> None:
+    """Run the benchmark that the command line selects."""
     parser = argparse.ArgumentParser(description=(__doc__ or "").splitlines()[0])
     parser.add_argument("--runs", type=int, default=5)
     parser.add_argument("--against", type=Path)
     parser.add_argument("--fleet", action="store_true")
     parser.add_argument("--rate", type=float, default=290.0)
-    told = parser.parse_args()
-    if told.fleet:
-        fleet(told.runs, told.rate)
+    args = parser.parse_args()
+    if args.fleet:
+        measure_fleet(args.runs, args.rate)
     else:
-        asyncio.run(measure(told.runs, told.against))
+        asyncio.run(measure(args.runs, args.against))
 
 
 if __name__ == "__main__":
--- a/benchmarks/standing.py
+++ b/benchmarks/standing.py
@@ -1,13 +1,14 @@
-"""Days of the standing test, one after another, as one table: how far each is from its gate.
+"""Run the days of the standing test one after another and tabulate how far each is from its gate.
 
     python benchmarks/standing.py --bench PROGRAM --site FILE [--days join,roll] [--seeds 1,2] [--nodes 60]
         [--within 1200] [--logs FOLDER]
 
-PROGRAM is the users' bench for the whole fleet, FILE their site; neither is part of this project. Each day is
-played with each seed, alone, from the checkout that this file stands in. `--within`: seconds of real time for
-all; what was not begun by then is said to be left out. A row: served share, what the gate wants, the distance
-between them, score, prices in points of 100, seconds of real time, most memory of one proxy. Exit code 1 if a
-day broke a rule, crashed or stayed under its gate, 2 without a bench.
+PROGRAM is the users' benchmark of a whole fleet and FILE their site; neither is part of this project. Each
+day runs with each seed, one at a time, from the checkout that contains this file. `--within`: seconds of real
+time for all runs; those that have not begun by then are listed as left out. A row has the share served, the
+share that the gate requires, the distance between them, the score, the prices in points of 100, the seconds
+of real time and the peak memory of one proxy. The exit code is 1 if a day broke a rule, crashed or stayed
+under its gate, and 2 if PROGRAM or FILE does not exist.
 """
 
 from __future__ import annotations
@@ -23,26 +24,30 @@
 HERE = Path(__file__).resolve().parents[1]
 DAYS = ("calm", "roll", "herd", "zone", "split", "join")
 KIND = "mass"
-CLOSING = re.compile(
+SUMMARY = re.compile(
     r"served (?P<served>[\d.]+) \(gate (?P<gate>[\d.]+)\)\s+"
     r"memory (?P<memory>\d+) of \d+ MB.*score (?P<score>-?[\d.]+)"
 )
 PRICE = re.compile(r"(\w+) ([\d.]+)")
-LONGEST_S = 1500.0  # one day may take 25 minutes
+DAY_TIMEOUT_S = 1500.0  # a day is aborted after 25 minutes
 
 
-class Played(NamedTuple):
+class DayRun(NamedTuple):
+    """One day's run with one seed, and what the benchmark printed."""
+
     day: str
     seed: int
     took_s: float
-    text: str  # all that the bench said
+    text: str  # standard output and standard error
 
     @property
-    def closing(self) -> re.Match[str] | None:
-        return CLOSING.search(self.text)
+    def summary(self) -> re.Match[str] | None:
+        """The benchmark's closing line; None if the run did not get that far."""
+        return SUMMARY.search(self.text)
 
     @property
     def prices(self) -> str:
+        """Prices of at least half a point of 100, the highest first."""
         line = next((line for line in self.text.splitlines() if line.startswith("prices: ")), "")
         found = [(float(points) * 100, name) for name, points in PRICE.findall(line.removeprefix("prices: "))]
         return ", ".join(
@@ -51,14 +56,16 @@
 
     @property
     def passed(self) -> bool:
-        closing = self.closing
+        """Whether the run kept the rules and reached its gate."""
+        summary = self.summary
         kept = "rules kept, no fault" in self.text
-        return kept and closing is not None and float(closing["served"]) >= float(closing["gate"])
+        return kept and summary is not None and float(summary["served"]) >= float(summary["gate"])
 
 
-def play(
+def run_day(
     bench: Path, site: Path, day: str, seed: int, nodes: int | None, logs: Path | None, left_s: float
-) -> Played:
+) -> DayRun:
+    """Run one day with one seed, for at most `left_s` seconds."""
     command = [str(bench), str(site), "--rough", f"{day}+{KIND}", "--seed", str(seed)]
     command += ["--why", f"A look at {day} with seed {seed} for the table of distances to the gate."]
     if nodes is not None:
@@ -71,31 +78,29 @@
         text = done.stdout + done.stderr
     except subprocess.TimeoutExpired:
         text = f"not over after {left_s:.0f} s"
-    return Played(day, seed, time.monotonic() - began_s, text)
+    return DayRun(day, seed, time.monotonic() - began_s, text)
 
 
-def row(played: Played) -> str:
-    closing = played.closing
-    if closing is None or "rules kept, no fault" not in played.text:
-        told = [line for line in played.text.splitlines() if line.strip()][-3:]
-        return (
-            f"| {played.day} | {played.seed} | FAILED: {' / '.join(told)} | | | | | {played.took_s:.0f} | |"
-        )
-    served, gate = float(closing["served"]), float(closing["gate"])
+def row(run: DayRun) -> str:
+    """The table row of a run; a failed one has the last lines that the benchmark printed."""
+    summary = run.summary
+    if summary is None or "rules kept, no fault" not in run.text:
+        last_lines = [line for line in run.text.splitlines() if line.strip()][-3:]
+        return f"| {run.day} | {run.seed} | FAILED: {' / '.join(last_lines)} | | | | | {run.took_s:.0f} | |"
+    served, gate = float(summary["served"]), float(summary["gate"])
     cells = [
-        played.day,
-        played.seed,
+        run.day,
+        run.seed,
         f"{served:.3f}",
         f"{gate:.3f}",
         f"{served - gate:+.3f}",
-        closing["score"],
+        summary["score"],
     ]
-    return (
-        "| " + " | ".join(map(str, [*cells, played.prices, f"{played.took_s:.0f}", closing["memory"]])) + " |"
-    )
+    return "| " + " | ".join(map(str, [*cells, run.prices, f"{run.took_s:.0f}", summary["memory"]])) + " |"
 
 
 def main() -> int:
+    """Run the days in turn, print a row for each and return the exit code."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
@@ -104,32 +109,36 @@
     parser.add_argument("--days", default=",".join(DAYS), help="of " + ", ".join(DAYS))
     parser.add_argument("--seeds", default="1")
     parser.add_argument(
-        "--nodes", type=int, help="client proxies; a smaller day is a look, and does not count"
+        "--nodes", type=int, help="client proxies; a smaller run is a trial and does not count"
     )
-    parser.add_argument("--within", type=float, default=1200.0, help="seconds for all")
-    parser.add_argument("--logs", type=Path, help="for the proxies' logs, a folder for each play")
-    told = parser.parse_args()
-    for path in (told.bench, told.site):
+    parser.add_argument("--within", type=float, default=1200.0, help="seconds for all runs")
+    parser.add_argument(
+        "--logs", type=Path, help="folder for the proxies' logs, with a subfolder for each run"
+    )
+    options = parser.parse_args()
+    for path in (options.bench, options.site):
         if not path.exists():
             print(
-                f"{path} is not there: the users' bench is no part of this project, and nothing was played."
+                f"{path} does not exist: the users' benchmark is not part of this project; nothing was run."
             )
             return 2
-    days = told.days.split(",")
+    days = options.days.split(",")
     if unknown := [day for day in days if day not in DAYS]:
-        parser.error(f"no such day: {', '.join(unknown)}; right is of {', '.join(DAYS)}")
-    plays = [(day, int(seed)) for seed in told.seeds.split(",") for day in days]
-    until_s, failed, left_out = time.monotonic() + told.within, 0, []
+        parser.error(f"no such day: {', '.join(unknown)}; choose from {', '.join(DAYS)}")
+    runs = [(day, int(seed)) for seed in options.seeds.split(",") for day in days]
+    until_s, failed, left_out = time.monotonic() + options.within, 0, []
     print("| day | seed | served | wanted | distance | score | prices, points | s | MB |")
     print("| --- | --- | --- | --- | --- | --- | --- | --- | --- |")
-    for day, seed in plays:
-        left_s = min(LONGEST_S, until_s - time.monotonic())
+    for day, seed in runs:
+        left_s = min(DAY_TIMEOUT_S, until_s - time.monotonic())
         if left_s <= 0:
             left_out.append(f"{day} {seed}")
             continue
-        played = play(told.bench.resolve(), told.site.resolve(), day, seed, told.nodes, told.logs, left_s)
-        failed += not played.passed
-        print(row(played), flush=True)
+        run = run_day(
+            options.bench.resolve(), options.site.resolve(), day, seed, options.nodes, options.logs, left_s
+        )
+        failed += not run.passed
+        print(row(run), flush=True)
     if left_out:
         print(f"\nleft out, no time: {', '.join(left_out)}")
     return 1 if failed else 0
--- a/benchmarks/startup.py
+++ b/benchmarks/startup.py
@@ -1,10 +1,11 @@
-"""What a start costs: processor time from exec to ready, beside a bare interpreter and bare asyncio.
+"""Measure the processor time of a proxy's start, from exec to ready, against a bare interpreter and asyncio.
 
     python benchmarks/startup.py [--against CHECKOUT] [--rounds 15] [--servers 200]
 
-Each round starts each of them once, in turn, so that a busy machine is unfair to none; the least and the
-median of each are printed. `--against`: another checkout of this project, measured by the same interpreter.
-Whole fleets restart at once, and a proxy with part of a core pays for a start by that part.
+Each round starts each of them once, in turn, so that other load on the machine affects all alike; the least
+and the median of each are printed. `--against`: another checkout of this project, run by the same
+interpreter. The cost matters because whole fleets restart at once, and a proxy that is limited to a fraction
+of a core takes that much longer to start.
 """
 
 from __future__ import annotations
@@ -27,6 +28,7 @@
 
 
 def configuration(servers: int) -> dict[str, object]:
+    """The proxy's configuration, with a list of `servers` servers that it knows at its start."""
     listed = [
         {
             "id": f"s-{i}",
@@ -60,6 +62,7 @@
 
 
 def ready() -> bool:
+    """Whether the proxy's health check answers 200."""
     try:
         with socket.create_connection(LISTEN, timeout=READY_S) as client:
             client.sendall(b"GET /healthz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
@@ -86,6 +89,7 @@
 
 
 def run(code: str) -> float:
+    """Milliseconds of processor time of an interpreter that runs `code`."""
     process = subprocess.Popen([sys.executable, "-c", code])
     _, _, used = os.wait4(process.pid, 0)
     process.returncode = 0
@@ -93,30 +97,31 @@
 
 
 def main() -> None:
+    """Start each variant in turn and print the least and the median time of each."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
     parser.add_argument("--against", type=Path, help="another checkout of this project")
     parser.add_argument("--rounds", type=int, default=15)
     parser.add_argument("--servers", type=int, default=200, help="in the list that a proxy starts with")
-    told = parser.parse_args()
+    options = parser.parse_args()
     found: dict[str, list[float]] = {}
     with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
-        json.dump(configuration(told.servers), file)
+        json.dump(configuration(options.servers), file)
         file.flush()
-        for checkout in (HERE, told.against):
-            if checkout is not None:  # as the deploy file's build does
+        for checkout in (HERE, options.against):
+            if checkout is not None:  # the build of the deployment compiles, too
                 subprocess.run(
                     [sys.executable, "-m", "compileall", "-q", "cloverrouter"], cwd=checkout, check=True
                 )
-        for i in range(told.rounds + 1):
-            took = {"interpreter": run("pass"), "asyncio": run("import asyncio")}
-            if told.against is not None:
-                took["against"] = start(told.against.resolve(), Path(file.name))
-            took["this"] = start(HERE, Path(file.name))
-            for name, ms in took.items() if i else ():  # the first round warms the file cache
+        for i in range(options.rounds + 1):
+            times_ms = {"interpreter": run("pass"), "asyncio": run("import asyncio")}
+            if options.against is not None:
+                times_ms["against"] = start(options.against.resolve(), Path(file.name))
+            times_ms["this"] = start(HERE, Path(file.name))
+            for name, ms in times_ms.items() if i else ():  # the first round fills the file cache
                 found.setdefault(name, []).append(ms)
-    print(f"{told.rounds} starts of each, {told.servers} servers known; ms of processor time")
+    print(f"{options.rounds} starts of each, {options.servers} servers known; ms of processor time")
     for name, all_ms in found.items():
         print(f"{name:12} least {min(all_ms):6.1f}  median {median(all_ms):6.1f}")
 
--- a/benchmarks/terminal_libraries.py
+++ b/benchmarks/terminal_libraries.py
@@ -1,11 +1,13 @@
-"""Bytes that terminal libraries send for the same screen, side by side: what the choice rests on.
+"""Compare how many bytes terminal libraries send for the same screen.
+
+The choice of the console's own renderer rests on this comparison.
 
     python -m benchmarks.terminal_libraries [PYTHON]
 
 PYTHON is an interpreter that has urwid, prompt_toolkit and textual (this project does not need them). Each
-shows the same twenty frames of the servers' screen, one every 0.3 s, on a VT100 of 80 by 24; counted are
-the bytes until the first frame stands and those of each frame after it. All read as many bytes as come:
-this is about how much there is to send, not about when.
+library shows the same twenty frames of the servers' screen, one every 0.3 s, on a VT100 of 80 by 24. Counted
+are the bytes until the first frame is complete and those of each frame after it. The terminal reads without a
+rate limit, so the benchmark compares the amount of output and not its timing.
 """
 
 from __future__ import annotations
@@ -22,14 +24,14 @@
 from pathlib import Path
 from random import Random
 
-from cloverrouter.console.paint import Painter, Row
+from cloverrouter.console.paint import Renderer, Row
 
 FRAMES, EVERY_S, FIRST_S = 20, 0.3, 2.0
 HEIGHT, WIDTH = 24, 79
 
 
 def frames() -> list[list[str]]:
-    """The servers' screen with figures that move as they do under load."""
+    """Frames of the servers' screen whose figures change as they do under load."""
     random, found = Random(1), []
     for number in range(FRAMES):
         rows = [
@@ -117,18 +119,22 @@
 
 
 def ours() -> tuple[int, float]:
-    painter = Painter(HEIGHT, WIDTH)
+    """Bytes of the first frame, and the mean of each later one, as this project's renderer sends them."""
+    renderer = Renderer(HEIGHT, WIDTH)
     counts = []
     for rows in frames():
-        painter.want([Row(row, bright=y == 0) for y, row in enumerate(rows)], (HEIGHT - 1, 2), [HEIGHT - 1])
+        renderer.set_target(
+            [Row(row, reverse=y == 0) for y, row in enumerate(rows)], (HEIGHT - 1, 2), [HEIGHT - 1]
+        )
         count = 0
-        while not painter.clean:
-            count += len(painter.next(4096))
+        while not renderer.clean:
+            count += len(renderer.next(4096))
         counts.append(count)
     return counts[0], sum(counts[1:]) / len(counts[1:])
 
 
 async def count(python: str, program: str) -> tuple[int, float] | None:
+    """Bytes of the first frame, and the mean of each later one, that a program sends; None if it fails."""
     master, slave = pty.openpty()
     os.set_blocking(master, False)
     fcntl.ioctl(slave, termios.TIOCSWINSZ, struct.pack("4H", HEIGHT, WIDTH + 1, 0, 0))
@@ -150,7 +156,7 @@
             begun = begun or time.monotonic()
             last = time.monotonic()
             total += len(data)
-        # Before the second frame comes, all of the first has.
+        # By then the first frame is complete and the second has not begun.
         if begun and first is None and time.monotonic() - begun > FIRST_S * 0.75:
             first = total
     if process.poll() is None:
@@ -163,6 +169,7 @@
 
 
 def main() -> None:
+    """Print the byte counts of this project and of each library."""
     python = sys.argv[1] if len(sys.argv) > 1 else sys.executable
     print(f"bytes on a VT100: first screen, then each of {FRAMES - 1} frames (with the program's end)")
     print("  {:<15}{:>6}{:>8.0f}".format("this project", *ours()))
--- a/cloverrouter/__init__.py
+++ b/cloverrouter/__init__.py
@@ -10,7 +10,7 @@
 
 
 def __getattr__(name: str) -> Any:
-    """`Balancer`, once it is asked for (PEP 562): a process that starts has other things to do first."""
+    """Import `Balancer` on first access (PEP 562), which keeps its import out of the start of a process."""
     if name == "Balancer":
         from cloverrouter.decide import Balancer
 
--- a/cloverrouter/__main__.py
+++ b/cloverrouter/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m cloverrouter`: the command line."""
+"""Entry point of `python -m cloverrouter`: the command line."""
 
 import sys
 
--- a/cloverrouter/benchlink.py
+++ b/cloverrouter/benchlink.py
@@ -1,8 +1,8 @@
-"""Adapter: hosts many balancers behind the simulator's wire. It decides nothing.
+"""Adapter that hosts many balancers behind the line protocol of a simulator. It makes no decisions itself.
 
-Reads one batch a line from standard input, writes one reply a line. An unreadable line ends it with
-one line on standard error and exit code 1; a crash of a balancer is reported there and on the wire, and
-ends it too.
+Reads one batch per line from standard input and writes one reply per line. An unreadable line ends the
+process with one line on standard error and exit code 1. A crash of a balancer is reported on standard error
+and in the reply, and ends the process too.
 """
 
 from __future__ import annotations
@@ -19,6 +19,7 @@
     Action,
     AttemptEnded,
     Cancel,
+    ClientDisconnected,
     EndpointsListed,
     EndpointState,
     Event,
@@ -31,7 +32,6 @@
     ProbeEnded,
     Refuse,
     RequestArrived,
-    RequestGone,
     Send,
     SetTimer,
     Settings,
@@ -57,11 +57,11 @@
     "restored": ListKind.RESTORED,
     "unavailable": ListKind.FAILED,
 }
-HINT_VALID, REPEAT = 1, 2
+FLAG_HINT_VALID, FLAG_CLIENT_RETRY = 1, 2
 
 
 class WireError(ValueError):
-    """A line that is not what the wire allows."""
+    """A line that violates the protocol."""
 
 
 # Events
@@ -82,14 +82,14 @@
     return tuple(fields["stats"]) if fields.get("stats") else None
 
 
-def whole(fields: Json, name: str) -> int:
+def read_int(fields: Json, name: str) -> int:
     value = fields[name]
     if not isinstance(value, int):
         raise WireError(f"{name} is not a whole number: {value!r}")
     return value
 
 
-def number(fields: Json, name: str) -> float:
+def read_number(fields: Json, name: str) -> float:
     value = fields[name]
     if not isinstance(value, int | float):
         raise WireError(f"{name} is not a number: {value!r}")
@@ -99,19 +99,19 @@
 def read_request(fields: Json) -> RequestArrived:
     flags = fields.get("flags", 0)
     return RequestArrived(
-        request_id=whole(fields, "handle"),
+        request_id=read_int(fields, "handle"),
         class_name=fields.get("priority", ""),
-        deadline_ms=number(fields, "give_up_at_ms"),
+        deadline_ms=read_number(fields, "give_up_at_ms"),
         tenant=fields.get("org") or None,
         key=fields.get("resource"),
-        work_hint_ms=fields.get("effort_ms") if flags & HINT_VALID else None,
-        repeat=bool(flags & REPEAT),
+        work_hint_ms=fields.get("effort_ms") if flags & FLAG_HINT_VALID else None,
+        client_retry=bool(flags & FLAG_CLIENT_RETRY),
     )
 
 
 def read_outcome(fields: Json) -> AttemptEnded:
     return AttemptEnded(
-        request_id=whole(fields, "handle"),
+        request_id=read_int(fields, "handle"),
         attempt=fields.get("n", 0),
         outcome=OUTCOMES[fields["verdict"]],
         latency_ms=fields.get("delay_seen_ms", 0.0),
@@ -121,7 +121,7 @@
 
 
 def read_stream(fields: Json) -> StreamStarted:
-    return StreamStarted(whole(fields, "handle"), fields.get("n", 0), fields.get("delay_seen_ms", 0.0))
+    return StreamStarted(read_int(fields, "handle"), fields.get("n", 0), fields.get("delay_seen_ms", 0.0))
 
 
 def read_probe(fields: Json) -> ProbeEnded:
@@ -132,9 +132,9 @@
 EVENTS: dict[str, Callable[[Json], Event]] = {
     "new_request": read_request,
     "resolved": read_outcome,
-    "timeout_fired": lambda fields: TimerFired(whole(fields, "cookie")),
+    "timeout_fired": lambda fields: TimerFired(read_int(fields, "cookie")),
     "head_received": read_stream,
-    "left": lambda fields: RequestGone(whole(fields, "handle")),
+    "left": lambda fields: ClientDisconnected(read_int(fields, "handle")),
     "health_result": read_probe,
 }
 
@@ -168,7 +168,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Begin:
-    """A new life of an instance."""
+    """Start of an instance, with empty state."""
 
     settings: Settings
     seed: int
@@ -176,7 +176,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Stop:
-    """The end of a life: killed outright."""
+    """Abrupt end of an instance, as by SIGKILL."""
 
 
 Step = Begin | Stop | Event
@@ -190,21 +190,21 @@
 
 
 class Reader:
-    """Turns lines into batches. Keeps the lists of servers that the wire sends once for all instances."""
+    """Parser of lines into batches. Keeps the lists of servers, which are sent once for all instances."""
 
     def __init__(self, err: TextIO) -> None:
         self._lists: dict[int, tuple[ListedEndpoint, ...]] = {}
-        self._unknown_named: list[str] = []
+        self._reported_unknown: list[str] = []
         self._err = err
 
     def read(self, line: str) -> Batch:
-        """Raises WireError, saying what is wrong, for a line that is no batch."""
+        """Parse one batch. Raises WireError with the cause if the line is not a valid batch."""
         try:
             batch = json.loads(line)
             if not isinstance(batch, dict):
                 raise WireError("not an object")
             groups = [(group["who"], self._steps(group["news"])) for group in batch["groups"]]
-            return Batch(batch["n"], number(batch, "ts_ms"), groups)
+            return Batch(batch["n"], read_number(batch, "ts_ms"), groups)
         except json.JSONDecodeError as error:
             raise WireError(f"not JSON: {error}") from error
         except KeyError as error:
@@ -237,8 +237,8 @@
             return EndpointsListed(scope, () if scope is ListKind.FAILED else self._lists[fields["list"]])
         if kind == "register":
             self._lists[fields["list"]] = tuple(read_endpoint(e) for e in fields["members"])
-        elif kind != "peer" and kind not in self._unknown_named:
-            self._unknown_named.append(kind)
+        elif kind != "peer" and kind not in self._reported_unknown:
+            self._reported_unknown.append(kind)
             print(f"benchlink: unknown event {kind!r} ignored", file=self._err)
         return None
 
@@ -247,13 +247,16 @@
 
 
 class Host:
-    """The instances of one process; they share nothing."""
+    """The balancer instances of one process; they share no state."""
 
     def __init__(self) -> None:
         self._balancers: dict[str, Balancer] = {}
 
     def play(self, who: str, now_ms: float, steps: list[Step]) -> list[Json]:
-        """One instance's part of a batch. What a life killed within it would have done is void."""
+        """Play the part of a batch that concerns one instance, and return its actions.
+
+        Events before a `Begin` or `Stop` within the batch have no effect: that instance was killed.
+        """
         events: list[Event] = []
         for step in steps:
             if isinstance(step, Begin | Stop):
@@ -271,14 +274,14 @@
 
 
 def play_batch(host: Host, batch: Batch, err: TextIO) -> tuple[list[Json], bool]:
-    """The reply's groups, and whether an instance's decisions crashed; nothing is played after that."""
+    """Return the groups of the reply, and whether a balancer crashed; the batch ends at a crash."""
     groups: list[Json] = []
     for who, steps in batch.groups:
         try:
             cmds = host.play(who, batch.now_ms, steps)
         except WireError:
             raise
-        except Exception as error:  # reported with its text, here and on the wire; then the end
+        except Exception as error:  # any crash of a balancer: reported on stderr and in the reply
             traceback.print_exc(file=err)
             fault = {"give_in": {"message": f"{type(error).__name__}: {error}"}}
             return [*groups, {"who": who, "cmds": [fault]}], True
@@ -288,7 +291,7 @@
 
 
 def serve(lines: Iterable[str], out: TextIO, err: TextIO) -> int:
-    """Answer every line until input ends; the exit code."""
+    """Answer every line until the input ends. Returns the exit code."""
     reader, host = Reader(err), Host()
     for line in lines:
         try:
--- a/cloverrouter/cli.py
+++ b/cloverrouter/cli.py
@@ -1,4 +1,4 @@
-"""The command line: one program, one word for each thing that a technician does with it."""
+"""Command line of `python -m cloverrouter`: the parser and the dispatch of the subcommands."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
     check = words.add_parser("check", help="tell whether an operators' file is right, without starting")
     check.add_argument("file")
 
-    # Named here, read by the lab itself: what a proxy loads stays clear of it.
+    # Listed here for the help only; the lab parses its own arguments, so a proxy does not import it.
     words.add_parser("lab", help="ask what would happen: emulated servers, faults, load, sweeps")
 
     witness = words.add_parser("witness", help="be the third vote of a pair of boxes")
@@ -78,9 +78,9 @@
 
 
 def socket_path(socket: str | None, site: str | None) -> Path:
-    """Where the control socket is: by option, by the operators' file, by PROXY_SITE, or by default.
+    """Return the control socket's path: from the option, the operators' file, PROXY_SITE or the default.
 
-    Raises `SiteError` for a file that is wrong.
+    Raises `SiteError` for an invalid file.
     """
     if socket:
         return Path(socket)
@@ -99,8 +99,8 @@
 
     try:
         site = check_file(file)
-    except SiteError as wrong:
-        print(wrong, file=sys.stderr)
+    except SiteError as error:
+        print(error, file=sys.stderr)
         return USAGE
     print(f"{file} is right. In force:\n{describe(site)}")
     return DONE
@@ -108,21 +108,21 @@
 
 def ctl(path: Path, words: Sequence[str], as_json: bool) -> int:
     from cloverrouter.console.text import answer_lines, error_line, event_line
-    from cloverrouter.control.client import ControlClient, Lost, Unreachable
-    from cloverrouter.control.words import BadWords, parse
+    from cloverrouter.control.client import ConnectionLost, ControlClient, Unreachable
+    from cloverrouter.control.words import UsageError, parse
 
     try:
         client = ControlClient(path)
-    except Unreachable as wrong:
-        print(wrong, file=sys.stderr)
+    except Unreachable as error:
+        print(error, file=sys.stderr)
         return UNREACHABLE
     try:
-        do, args = parse(words, client.ask("help")["result"]["commands"])
-        answer = client.ask(do, **args)
+        command, args = parse(words, client.ask("help")["result"]["commands"])
+        answer = client.ask(command, **args)
         if as_json:
             print(json.dumps({k: v for k, v in answer.items() if k in ("ok", "result", "error")}))
         elif answer["ok"]:
-            print("\n".join(answer_lines(do, answer["result"], time.time() * 1000)))
+            print("\n".join(answer_lines(command, answer["result"], time.time() * 1000)))
         else:
             print(error_line(answer["error"]), file=sys.stderr)
         if answer["ok"] and args.get("follow"):
@@ -131,11 +131,11 @@
         if answer["ok"]:
             return DONE
         return USAGE if answer["error"]["code"] in ("bad_argument", "no_command") else REFUSED
-    except BadWords as wrong:
-        print(wrong, file=sys.stderr)
+    except UsageError as error:
+        print(error, file=sys.stderr)
         return USAGE
-    except Lost as wrong:
-        print(f"the answer was lost: {wrong}", file=sys.stderr)
+    except ConnectionLost as error:
+        print(f"the answer was lost: {error}", file=sys.stderr)
         return LOST
     except KeyboardInterrupt:
         return DONE
@@ -149,33 +149,35 @@
         from cloverrouter.lab.cli import main as lab
 
         return lab(words[1:])
-    told = build_parser().parse_args(words)
-    match told.word:
+    options = build_parser().parse_args(words)
+    match options.word:
         case "check":
-            return check(told.file)
+            return check(options.file)
         case "run":
             from cloverrouter.proxy.service import main as run
 
-            return run(told.site)
+            return run(options.site)
         case "witness":
             from cloverrouter.vrrp.witness import main as witness
 
-            return witness(told.listen, told.name, told.box, told.promise_ms, told.secret_file)
+            return witness(options.listen, options.name, options.box, options.promise_ms, options.secret_file)
         case "demo":
             from cloverrouter.demo.launch import main as demo
 
-            return demo(told.seconds, told.rate, told.servers)
+            return demo(options.seconds, options.rate, options.servers)
     try:
-        path = socket_path(told.socket, told.site)
-    except ValueError as wrong:
-        print(wrong, file=sys.stderr)
+        path = socket_path(options.socket, options.site)
+    except ValueError as error:
+        print(error, file=sys.stderr)
         return USAGE
-    if told.word == "task":
+    if options.word == "task":
         from cloverrouter.leases.run import run as run_task
 
-        return run_task(path, told.name, told.room, told.command, told.wait, told.longest, told.grace)
-    if told.word == "ctl":
-        return ctl(path, told.words, told.json)
+        return run_task(
+            path, options.name, options.room, options.command, options.wait, options.longest, options.grace
+        )
+    if options.word == "ctl":
+        return ctl(path, options.words, options.json)
     from cloverrouter.console.app import main as console
 
-    return console(path, told.speed, told.plain)
+    return console(path, options.speed, options.plain)
--- a/cloverrouter/compose.py
+++ b/cloverrouter/compose.py
@@ -1,6 +1,7 @@
-"""The composition root: which directions are on, in a list. It knows them by one protocol, `seams.Direction`.
+"""Composition root: constructs and runs the extensions that the operators' file enables.
 
-Imported only where an operators' file is named. A direction that is off is not imported.
+It uses them only through their base class, `seams.Direction`. This module is imported only if an operators'
+file is named, and the module of an extension only if that extension is enabled.
 """
 
 from __future__ import annotations
@@ -25,8 +26,8 @@
     from cloverrouter.proxy.node import Node
 
 TICK_S = 1.0
-# Tables of the operators' file, and where their directions are. They start in this order, so that the last
-# one can ask the others for what it tells; they close in it, too.
+# Table of the operators' file, module and class of each extension. They start in this order, so that the
+# last one, `control`, can read the status of the others; they close in the same order.
 DIRECTIONS: tuple[tuple[str, str, str], ...] = (
     ("log", "cloverrouter.logs.direction", "Entry"),
     ("vrrp", "cloverrouter.vrrp.direction", "Entry"),
@@ -38,27 +39,34 @@
 
 
 def read_site(path: str) -> Site:
-    """Raises `SiteError`, a ValueError: the program does not start on a file that is wrong."""
+    """Load and check the operators' file.
+
+    Raises `SiteError`, a ValueError: the program does not start with an invalid file.
+    """
     return check(path)
 
 
-def turned_on(site: Site) -> list[tuple[type[Direction], Any]]:
-    """The directions that the file turns on, each with its table."""
-    tables = ((getattr(site, name), place, entry) for name, place, entry in DIRECTIONS)
-    return [(getattr(import_module(place), entry), table) for table, place, entry in tables if table.enabled]
+def enabled_directions(site: Site) -> list[tuple[type[Direction], Any]]:
+    """Return the classes of the enabled extensions, each with its table."""
+    tables = ((getattr(site, name), module, class_name) for name, module, class_name in DIRECTIONS)
+    return [
+        (getattr(import_module(module), class_name), table)
+        for table, module, class_name in tables
+        if table.enabled
+    ]
 
 
 def descriptors(site: Site) -> int:
-    """How many descriptors the directions may hold, which requests then can't."""
-    return sum(entry.descriptors(table) for entry, table in turned_on(site))
+    """Return the number of file descriptors that extensions may use, unavailable to requests."""
+    return sum(extension.descriptors(table) for extension, table in enabled_directions(site))
 
 
 class Appliance:
-    """All that the operators' file turned on, for one node."""
+    """The extensions of one node, as the operators' file enables them."""
 
-    def __init__(self, site: Site, told: Config, node: Node) -> None:
-        """Raises `StartError`."""
-        self._core = core = Core(told, node, secrets.token_hex(4))
+    def __init__(self, site: Site, config: Config, node: Node) -> None:
+        """Construct the enabled extensions. Raises `StartError`."""
+        self._core = core = Core(config, node, secrets.token_hex(4))
         self._errors = node.errors
         self._tick: Periodic | None = None
         folder = Path(site.state.directory) if site.state.enabled else None
@@ -68,14 +76,14 @@
             core.keeper = Keeper(folder, node.listed, node.view, core.event, core.alarms.set)
         except OSError as error:
             raise StartError(f"[state]: {error}") from error
-        for entry, table in turned_on(site):
-            core.directions.append(entry(core, table))
+        for extension, table in enabled_directions(site):
+            core.directions.append(extension(core, table))
 
     def listed(self, kind: ListKind, found: HostList) -> None:
         self._core.keeper.listed(kind, found)
 
     async def start(self, frontend: Frontend) -> None:
-        """Raises `StartError`."""
+        """Start the extensions, then their periodic work. Raises `StartError`."""
         for direction in self._core.directions:
             await direction.start(frontend)
         for direction in self._core.directions:
@@ -86,22 +94,22 @@
             self._tick = Periodic(loop, self._errors, "tick", TICK_S, self._on_tick)
 
     def reload(self) -> None:
-        """SIGHUP: files that the operators may have replaced are read again; bad ones change nothing."""
+        """Reload files that operators may have replaced, on SIGHUP; invalid ones change nothing."""
         self._each("reload", lambda direction: direction.reload())
 
     def leave(self) -> None:
-        """The proxy is about to end."""
-        self._each("leave", lambda direction: direction.leave(final=False))
+        """Notify the extensions that the proxy is about to shut down."""
+        self._each("leave", lambda direction: direction.prepare_shutdown(final=False))
 
-    def stop_taking(self) -> None:
-        """From here on what comes is turned away by every front."""
-        self._each("leave", lambda direction: direction.leave(final=True))
+    def stop_accepting(self) -> None:
+        """Make every frontend reject new requests from here on."""
+        self._each("leave", lambda direction: direction.prepare_shutdown(final=True))
 
     def _on_tick(self) -> None:
         self._each("tick", lambda direction: direction.tick())
 
     def _each(self, place: str, step: Callable[[Direction], None]) -> None:
-        """Take a step of each direction; one that fails keeps neither the others nor a drain from theirs."""
+        """Run `step` for each extension; an exception stops neither the other extensions nor a drain."""
         for direction in self._core.directions:
             self._errors.run(place, partial(step, direction), type(direction).__name__)
 
--- a/cloverrouter/console/__init__.py
+++ b/cloverrouter/console/__init__.py
@@ -1,1 +1,1 @@
-"""The terminal console: what an operator sees and types, on any terminal, over a slow line too."""
+"""The terminal console for operators; works on any terminal and over slow lines."""
--- a/cloverrouter/console/app.py
+++ b/cloverrouter/console/app.py
@@ -1,4 +1,4 @@
-"""The console on a terminal: raw bytes in and out, sizes and signals. What it shows, `Session` decides."""
+"""The console's event loop on a terminal: input and output, window size, signals. `Session` has the logic."""
 
 from __future__ import annotations
 
@@ -11,74 +11,75 @@
 from contextlib import suppress
 from pathlib import Path
 
-from cloverrouter.console.keys import Keys
+from cloverrouter.console.keys import KeyDecoder
 from cloverrouter.console.link import Link
-from cloverrouter.console.pace import Pace
-from cloverrouter.console.paint import Painter
-from cloverrouter.console.session import Ask, Session
+from cloverrouter.console.pace import Pacer
+from cloverrouter.console.paint import Renderer
+from cloverrouter.console.session import ProxyRequest, Session
 from cloverrouter.seams import Json
 
-DUMB = ("", "dumb", "unknown")
-LONE_ESCAPE_S = 0.2  # an escape that nothing follows for so long was a key
-FRAME_S = 0.25  # between looks at what should be shown, when nothing happens
-LEAST_BAUD, MOST_BAUD = 300, 4_000_000
-# What the kernel calls a speed, where it is not the figure itself (termios(3)).
-BAUD = {
+DUMB_TERMINALS = ("", "dumb", "unknown")
+ESCAPE_TIMEOUT_S = 0.2  # an escape byte followed by nothing within this time is the Escape key
+FRAME_INTERVAL_S = 0.25  # between redraws without input or answers
+MIN_BAUD, MAX_BAUD = 300, 4_000_000
+# The kernel's constants for line speeds, which differ from the speeds themselves (termios(3)).
+BAUD_BY_CONSTANT = {
     getattr(termios, f"B{n}"): n
     for n in (300, 600, 1200, 2400, 4800, 9600, 19200, 38400, 57600, 115200, 230400)
 }
 
 
 def speed_of(descriptor: int) -> int:
-    """The line's speed in baud, as the terminal driver has it."""
-    return BAUD.get(termios.tcgetattr(descriptor)[5], 38400)
+    """Return the line speed in baud that the terminal driver reports."""
+    return BAUD_BY_CONSTANT.get(termios.tcgetattr(descriptor)[5], 38400)
 
 
 class App:
-    """One console. `descriptor` is a terminal, opened anew and not blocking."""
+    """One console. `descriptor` is a terminal, opened separately in non-blocking mode."""
 
     def __init__(self, path: Path, descriptor: int, baud: int) -> None:
         self._loop = asyncio.get_running_loop()
         self._descriptor = descriptor
         now_s = self._loop.time()
         self._session = Session(str(path), now_s)
-        self._link = Link(path, self._hello, self._answered, self._lost)
-        self._keys = Keys()
-        self._painter = Painter(*self._size())
-        self._pace = Pace(baud / 10, now_s)  # ten bits a byte: start, eight, stop
-        self._due: asyncio.TimerHandle | None = None
-        self._escape: asyncio.TimerHandle | None = None
-        self._full = False  # the driver takes nothing more
+        self._link = Link(path, self._on_hello, self._on_answer, self._on_lost)
+        self._key_decoder = KeyDecoder()
+        self._renderer = Renderer(*self._size())
+        self._pacer = Pacer(baud / 10, now_s)  # ten bits a byte: start, eight, stop
+        self._step_timer: asyncio.TimerHandle | None = None
+        self._escape_timer: asyncio.TimerHandle | None = None
+        self._output_blocked = False  # the terminal driver's queue is full
         self._done = asyncio.Event()
 
     def _size(self) -> tuple[int, int]:
-        """Rows and columns that are used: the last column stays free, since terminals differ on it."""
+        """Return the rows and columns in use; the last column stays free, as terminals differ in wrapping."""
         try:
-            found = os.get_terminal_size(self._descriptor)
+            size = os.get_terminal_size(self._descriptor)
         except OSError:
             return 24, 79
-        if found.lines <= 0 or found.columns <= 0:  # a serial line that nobody told its size
+        if size.lines <= 0 or size.columns <= 0:  # a serial line without a configured size
             return 24, 79
-        return min(found.lines, 200), min(max(2, found.columns), 300) - 1
+        return min(size.lines, 200), min(max(2, size.columns), 300) - 1
 
     async def run(self) -> None:
+        """Run until the operator quits, a signal arrives or the terminal closes."""
         self._loop.add_reader(self._descriptor, self._readable)
         self._loop.add_signal_handler(signal.SIGWINCH, self._resized)
         for number in (signal.SIGTERM, signal.SIGHUP):
             self._loop.add_signal_handler(number, self._done.set)
-        linking = self._loop.create_task(self._link.run())
+        link_task = self._loop.create_task(self._link.run())
         self._step()
         try:
             await self._done.wait()
         finally:
-            linking.cancel()
+            link_task.cancel()
             self._loop.remove_reader(self._descriptor)
-            if self._due is not None:
-                self._due.cancel()
-            with suppress(OSError):  # a terminal that takes nothing is left as it is
-                os.write(self._descriptor, f"\x1b[{self._painter.height}H\x1b[K".encode())
+            if self._step_timer is not None:
+                self._step_timer.cancel()
+            with suppress(OSError):  # the terminal may be closed or blocked
+                os.write(self._descriptor, f"\x1b[{self._renderer.height}H\x1b[K".encode())
 
-    # What comes
+    # Input
 
     def _readable(self) -> None:
         try:
@@ -88,90 +89,97 @@
         except OSError:
             data = b""
         if not data:
-            self._done.set()  # the terminal is gone
+            self._done.set()  # the terminal was closed
             return
-        if self._escape is not None:
-            self._escape.cancel()
-            self._escape = None
-        for key in self._keys.feed(data):
-            self._key(key)
-        if self._keys.pending:
-            self._escape = self._loop.call_later(LONE_ESCAPE_S, self._lone_escape)
+        if self._escape_timer is not None:
+            self._escape_timer.cancel()
+            self._escape_timer = None
+        for key in self._key_decoder.feed(data):
+            self._handle_key(key)
+        if self._key_decoder.pending:
+            self._escape_timer = self._loop.call_later(ESCAPE_TIMEOUT_S, self._lone_escape)
         self._step()
 
     def _lone_escape(self) -> None:
-        for key in self._keys.flush():
-            self._key(key)
+        for key in self._key_decoder.flush():
+            self._handle_key(key)
         self._step()
 
-    def _key(self, key: str) -> None:
+    def _handle_key(self, key: str) -> None:
         if key == "ACK":
-            self._pace.answered()
+            self._pacer.confirmed()
         elif key == "REPAINT":
             self._resized()
         else:
-            self._ask(self._session.key(key))
+            self._send_requests(self._session.key(key))
             if self._session.ended:
                 self._done.set()
 
     def _resized(self) -> None:
-        self._painter.resize(*self._size())
-        self._session.hurry = True
+        self._renderer.resize(*self._size())
+        self._session.redraw_now = True
         self._step()
 
-    def _hello(self, hello: Json) -> None:
-        self._ask(self._session.connected(hello))
+    def _on_hello(self, hello: Json) -> None:
+        self._send_requests(self._session.connected(hello))
         self._step()
 
-    def _answered(self, ask: Ask, answer: Json) -> None:
-        self._ask(self._session.answered(ask, answer))
+    def _on_answer(self, request: ProxyRequest, answer: Json) -> None:
+        self._send_requests(self._session.answered(request, answer))
         self._step()
 
-    def _lost(self, why: str) -> None:
-        self._session.lost(why, self._loop.time())
+    def _on_lost(self, reason: str) -> None:
+        self._session.lost(reason, self._loop.time())
         self._step()
 
-    def _ask(self, asks: list[Ask]) -> None:
-        for ask in asks:
-            self._link.ask(ask)
+    def _send_requests(self, requests: list[ProxyRequest]) -> None:
+        for request in requests:
+            self._link.send(request)
 
-    # What goes
+    # Output
 
     def _step(self) -> None:
-        """Ask what is due, and send what may be sent of what should be seen."""
+        """Send the requests that are due, and as much of the screen as the pacer allows."""
         if self._done.is_set():
             return
         now_s = self._loop.time()
-        if self._session.silent(now_s):
+        if self._session.answer_overdue(now_s):
             self._link.drop()
-        self._ask(self._session.poll(now_s, self._painter.height))
-        if not self._full:
-            wait_s = self._paint(now_s)
-            if self._due is not None:
-                self._due.cancel()
-            self._due = self._loop.call_later(wait_s, self._step)
-
-    def _paint(self, now_s: float) -> float:
-        """Send what may be sent; how long to wait then."""
-        painter, session, pace = self._painter, self._session, self._pace
-        painter.want(*session.rows(painter.height, painter.width, now_s))
-        while not painter.clean:
-            steady = not (session.hurry or painter.urgent)
-            most = pace.allowed(now_s, steady)
-            data = painter.next(most, urgent_only=painter.urgent and not session.hurry) if most else b""
+        self._send_requests(self._session.poll(now_s, self._renderer.height))
+        if not self._output_blocked:
+            wait_s = self._render(now_s)
+            if self._step_timer is not None:
+                self._step_timer.cancel()
+            self._step_timer = self._loop.call_later(wait_s, self._step)
+
+    def _render(self, now_s: float) -> float:
+        """Write as much of the screen as the pacer allows; return the time to the next call."""
+        renderer, session, pacer = self._renderer, self._session, self._pacer
+        renderer.set_target(*session.rows(renderer.height, renderer.width, now_s))
+        while not renderer.clean:
+            refresh = not (session.redraw_now or renderer.urgent)
+            max_bytes = pacer.allowed(now_s, refresh)
+            data = (
+                renderer.next(max_bytes, urgent_only=renderer.urgent and not session.redraw_now)
+                if max_bytes
+                else b""
+            )
             if not data:
-                self._write(pace.ask_again(now_s))
-                return min(FRAME_S, pace.wait_s(steady))
-            self._write(data + pace.sent(len(data), now_s, steady, painter.clean))
-            if self._full:
-                return FRAME_S
-        session.hurry = False
-        self._write(pace.ask_again(now_s))
-        return FRAME_S
+                self._write(pacer.repeat_request(now_s))
+                return min(FRAME_INTERVAL_S, pacer.wait_s(refresh))
+            self._write(data + pacer.sent(len(data), now_s, refresh, renderer.clean))
+            if self._output_blocked:
+                return FRAME_INTERVAL_S
+        session.redraw_now = False
+        self._write(pacer.repeat_request(now_s))
+        return FRAME_INTERVAL_S
 
     def _write(self, data: bytes) -> None:
-        """Danger: a terminal that has stopped takes a part, or nothing. Bytes once begun must go out whole,
-        or an escape sequence ends in the middle; until they have, no more is made."""
+        """Write `data`; the rest follows when the terminal accepts more.
+
+        A stopped terminal accepts only a part or nothing. The rest must be written before any new output, or
+        an escape sequence would be cut off.
+        """
         if not data:
             return
         try:
@@ -182,52 +190,53 @@
             self._done.set()
             return
         if count < len(data):
-            self._full = True
-            self._rest = data[count:]
+            self._output_blocked = True
+            self._unwritten = data[count:]
             self._loop.add_writer(self._descriptor, self._writable)
 
     def _writable(self) -> None:
         try:
-            self._rest = self._rest[os.write(self._descriptor, self._rest) :]
+            self._unwritten = self._unwritten[os.write(self._descriptor, self._unwritten) :]
         except BlockingIOError:
             return
         except OSError:
-            self._rest = b""
+            self._unwritten = b""
             self._done.set()
-        if not self._rest:
-            self._full = False
+        if not self._unwritten:
+            self._output_blocked = False
             self._loop.remove_writer(self._descriptor)
             self._step()
 
 
 def on_terminal(path: Path, speed: int | None) -> int:
-    """The console on this process's terminal. The terminal's settings are put back, however it ends."""
-    # Opened anew: not to block is a setting of the open file, which the shell shares with us.
+    """Run the console on this process's terminal and restore the terminal's settings at the end."""
+    # Opened separately: O_NONBLOCK belongs to the open file description, which the shell shares.
     descriptor = os.open(os.ttyname(sys.stdout.fileno()), os.O_RDWR | os.O_NOCTTY | os.O_NONBLOCK)
-    before = termios.tcgetattr(descriptor)
-    raw = termios.tcgetattr(descriptor)
-    # Keys come one by one and unechoed. XON/XOFF stays as it is: slow terminals need it.
-    raw[3] &= ~(termios.ICANON | termios.ECHO | termios.ISIG | termios.IEXTEN)
-    raw[0] &= ~(termios.ICRNL | termios.INLCR)
-    raw[6][termios.VMIN], raw[6][termios.VTIME] = 1, 0
-    baud = min(MOST_BAUD, max(LEAST_BAUD, speed or speed_of(descriptor)))
+    saved_settings = termios.tcgetattr(descriptor)
+    raw_settings = termios.tcgetattr(descriptor)
+    # Read single keys without echo. XON/XOFF stays enabled: slow terminals need it.
+    raw_settings[3] &= ~(termios.ICANON | termios.ECHO | termios.ISIG | termios.IEXTEN)
+    raw_settings[0] &= ~(termios.ICRNL | termios.INLCR)
+    raw_settings[6][termios.VMIN], raw_settings[6][termios.VTIME] = 1, 0
+    baud = min(MAX_BAUD, max(MIN_BAUD, speed or speed_of(descriptor)))
 
     async def serve() -> None:
         await App(path, descriptor, baud).run()
 
     try:
-        termios.tcsetattr(descriptor, termios.TCSANOW, raw)
+        termios.tcsetattr(descriptor, termios.TCSANOW, raw_settings)
         asyncio.run(serve())
     finally:
         with suppress(termios.error, OSError):
-            termios.tcsetattr(descriptor, termios.TCSANOW, before)
+            termios.tcsetattr(descriptor, termios.TCSANOW, saved_settings)
         os.close(descriptor)
     print()
     return 0
 
 
 def main(path: Path, speed: int | None, plain: bool) -> int:
-    terminal = sys.stdin.isatty() and sys.stdout.isatty() and os.environ.get("TERM", "") not in DUMB
+    """Run the console, in plain mode if requested or if the terminal can't position text."""
+    terminal = sys.stdin.isatty() and sys.stdout.isatty() and os.environ.get("TERM", "") not in DUMB_TERMINALS
     if plain or not terminal:
         from cloverrouter.console.plain import run
 
--- a/cloverrouter/console/plain.py
+++ b/cloverrouter/console/plain.py
@@ -1,4 +1,4 @@
-"""The console without a terminal that can place text: a command a line in, its answer in lines out."""
+"""Plain mode of the console, for pipes and dumb terminals: reads commands and prints answers by line."""
 
 from __future__ import annotations
 
@@ -7,81 +7,82 @@
 from typing import TextIO
 
 from cloverrouter.console.text import answer_lines, error_line
-from cloverrouter.control.client import ControlClient, Lost, Unreachable
-from cloverrouter.control.words import BadWords, parse, split
+from cloverrouter.control.client import ConnectionLost, ControlClient, Unreachable
+from cloverrouter.control.words import UsageError, parse, split
 
 PROMPT = "> "
 
 
-class Plain:
-    """One run. It holds no connection while it waits for a line: a proxy may come and go in between."""
+class PlainConsole:
+    """Executes commands. No connection stays open between them, so the proxy may restart in between."""
 
     def __init__(self, path: Path, out: TextIO, clock: Callable[[], float]) -> None:
         self._path, self._out, self._clock = path, out, clock
-        self._confirm: dict[str, object] | None = None
+        self._unconfirmed: dict[str, object] | None = None
 
-    def say(self, *lines: str) -> None:
+    def print_lines(self, *lines: str) -> None:
+        """Print the lines and flush."""
         print(*lines, sep="\n", file=self._out, flush=True)
 
-    def line(self, line: str) -> bool:
-        """Carry out one line; was it carried out?"""
-        confirm, self._confirm = self._confirm, None
-        if confirm is not None:
-            if line != confirm["server"]:
-                self.say(f"{confirm['server']} is not drained")
+    def execute(self, line: str) -> bool:
+        """Execute one line; return whether it succeeded."""
+        unconfirmed, self._unconfirmed = self._unconfirmed, None
+        if unconfirmed is not None:
+            if line != unconfirmed["server"]:
+                self.print_lines(f"{unconfirmed['server']} is not drained")
                 return False
-            return self._ask("drain", {**confirm, "confirm": line})
-        client = self._reach()
+            return self._send("drain", {**unconfirmed, "confirm": line})
+        client = self._connect()
         if client is None:
             return False
         try:
             do, args = parse(split(line), client.ask("help")["result"]["commands"])
-        except (BadWords, Lost) as wrong:
-            self.say(str(wrong))
+        except (UsageError, ConnectionLost) as error:
+            self.print_lines(str(error))
             return False
         finally:
             client.close()
         args.pop("follow", None)
-        return self._ask(do, args)
+        return self._send(do, args)
 
-    def _reach(self) -> ControlClient | None:
+    def _connect(self) -> ControlClient | None:
         try:
             return ControlClient(self._path)
-        except Unreachable as wrong:
-            self.say(str(wrong))
+        except Unreachable as error:
+            self.print_lines(str(error))
             return None
 
-    def _ask(self, do: str, args: dict[str, object]) -> bool:
-        client = self._reach()
+    def _send(self, do: str, args: dict[str, object]) -> bool:
+        client = self._connect()
         if client is None:
             return False
         try:
             answer = client.ask(do, **args)
-        except Lost as wrong:
-            self.say(f"the answer was lost: {wrong}; look whether it was done")
+        except ConnectionLost as error:
+            self.print_lines(f"the answer was lost: {error}; look whether it was done")
             return False
         finally:
             client.close()
         if answer["ok"]:
-            self.say(*answer_lines(do, answer["result"], self._clock() * 1000))
+            self.print_lines(*answer_lines(do, answer["result"], self._clock() * 1000))
             return True
-        self.say(error_line(answer["error"]))
+        self.print_lines(error_line(answer["error"]))
         if answer["error"]["code"] == "last_healthy" and "confirm" not in args:
-            self._confirm = args
-            self.say(f"NOT DRAINED. Type {args['server']} to drain it all the same.")
+            self._unconfirmed = args
+            self.print_lines(f"NOT DRAINED. Type {args['server']} to drain it all the same.")
         return False
 
 
 def run(path: Path, source: TextIO, out: TextIO, clock: Callable[[], float]) -> int:
-    """Status and servers, then a command for each line of `source`. 0 if all were carried out, else 1."""
-    plain = Plain(path, out, clock)
-    well = plain.line("status") and plain.line("servers")
-    asks = source.isatty()
+    """Print status and servers, then execute each line of `source`. Return 0 if all succeeded, else 1."""
+    console = PlainConsole(path, out, clock)
+    succeeded = console.execute("status") and console.execute("servers")
+    interactive = source.isatty()
     while True:
-        if asks:
+        if interactive:
             print(PROMPT, end="", file=out, flush=True)
         line = source.readline()
         if not line or line.strip() in ("quit", "exit", "q"):
-            return 0 if well else 1
+            return 0 if succeeded else 1
         if line.strip():
-            well = plain.line(line.strip()) and well
+            succeeded = console.execute(line.strip()) and succeeded
--- a/cloverrouter/control/book.py
+++ b/cloverrouter/control/book.py
@@ -1,8 +1,7 @@
-"""The observer behind the console: counts by class and server, recent failures and refusals.
+"""Request statistics for operators: counts by class and server, recent failures and refusals.
 
-Fills the observer seam. Bounded in all it keeps, whatever comes; what a request costs here is a few
-additions, and a record only for those that were not served. Rates are taken from totals sampled once a
-second by `tick`.
+Implements the observer interface. All stored data is bounded. A request costs a few additions here, and a
+record only if it was not served. Rates are computed from totals that `tick` samples once a second.
 """
 
 from __future__ import annotations
@@ -11,20 +10,22 @@
 from collections.abc import Callable, Iterable, Sequence
 from dataclasses import dataclass, field
 
-from cloverrouter.interface import Outcome, Why
+from cloverrouter.interface import GiveUpReason, Outcome
 from cloverrouter.proxy.messages import Call
-from cloverrouter.proxy.observer import Final, Tried
+from cloverrouter.proxy.observer import AttemptResult, RequestResult
 from cloverrouter.seams import Json
 
-KEPT = 200  # failures, and refusals
-RATE_SAMPLES = 6  # a second apart: rates are over the last five seconds
-MOST_SERVERS = 1000
-MOST_CLASSES = 200
-UNSAID = "the module did not say"
+MAX_UNSERVED_REQUESTS = 200  # of failures and of refusals each
+RATE_SAMPLES = 6  # one second apart: rates cover the last five seconds
+MAX_SERVERS = 1000
+MAX_CLASSES = 200
+NO_REASON = "the module did not say"
 
 
 @dataclass(slots=True)
 class ServerCount:
+    """Counts of one server's attempts, and its latest load report."""
+
     served: int = 0
     failed: int = 0
     outcomes: Counter[Outcome] = field(default_factory=Counter)
@@ -34,125 +35,144 @@
 
 @dataclass(slots=True)
 class ClassCount:
-    taken: int = 0
-    finals: Counter[Final] = field(default_factory=Counter)
-    whys: Counter[tuple[Final, str]] = field(default_factory=Counter)
-    served_ms: float = 0.0  # smoothed time of served answers
+    """Counts of one class's requests, by result and by reason."""
+
+    accepted: int = 0
+    results: Counter[RequestResult] = field(default_factory=Counter)
+    reasons: Counter[tuple[RequestResult, str]] = field(default_factory=Counter)
+    served_ms: float = 0.0  # smoothed duration of the served requests
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
-    """One request that was not served."""
+class UnservedRequest:
+    """A request that was not served."""
 
     at_ms: float  # Unix
     request_id: str
     class_name: str
-    final: Final
-    why: str
+    result: RequestResult
+    reason: str
     took_ms: float
-    trail: tuple[Tried, ...]
+    attempts: tuple[AttemptResult, ...]
 
-    def told(self) -> Json:
+    def to_json(self) -> Json:
+        """Return the record as the `failures` and `refusals` commands report it."""
         return {
             "at_ms": self.at_ms,
             "request": self.request_id,
             "class": self.class_name,
-            "final": self.final.value,
-            "why": self.why,
+            "final": self.result.value,
+            "why": self.reason,
             "took_ms": round(self.took_ms, 1),
             "attempts": [
                 {"server": t.server, "outcome": t.outcome.value, "took_ms": round(t.took_ms, 1)}
-                for t in self.trail
+                for t in self.attempts
             ],
         }
 
 
 @dataclass(frozen=True, slots=True)
 class Sample:
+    """Totals at one point in time; rates are differences between samples."""
+
     at_ms: float
     servers: dict[str, tuple[int, int]]  # served, failed
-    classes: dict[str, tuple[int, int, int, int, int]]  # taken, then by `Final` in its order
+    classes: dict[str, tuple[int, int, int, int, int]]  # accepted, then by `RequestResult` in its order
 
 
-class Book:
-    """`clock` gives Unix ms. `said` is told what the module says for the log."""
+class TrafficStats:
+    """Counts requests and attempts. `clock` returns Unix ms; `on_balancer_log` is passed log lines."""
 
     def __init__(
-        self, classes: Iterable[str], clock: Callable[[], float], said: Callable[[str], None]
+        self, classes: Iterable[str], clock: Callable[[], float], on_balancer_log: Callable[[str], None]
     ) -> None:
         self._clock = clock
-        self._said = said
+        self._on_balancer_log = on_balancer_log
         self.servers: dict[str, ServerCount] = {}
         self.classes = {name: ClassCount() for name in classes}
-        self.failures: deque[Ended] = deque(maxlen=KEPT)
-        self.refusals: deque[Ended] = deque(maxlen=KEPT)
-        self.turned: Counter[int] = Counter()
+        self.failures: deque[UnservedRequest] = deque(maxlen=MAX_UNSERVED_REQUESTS)
+        self.refusals: deque[UnservedRequest] = deque(maxlen=MAX_UNSERVED_REQUESTS)
+        self.rejected_by_status: Counter[int] = Counter()
         self._samples: deque[Sample] = deque(maxlen=RATE_SAMPLES)
         self.tick(())
 
     # proxy.observer.Observer
 
-    def taken(self, call: Call) -> None:
-        self._class(call.class_name).taken += 1
+    def request_accepted(self, call: Call) -> None:
+        self._class_count(call.class_name).accepted += 1
 
-    def tried(self, call: Call, tried: Tried, report: tuple[float, ...] | None) -> None:
-        server = self.servers.get(tried.server)
+    def attempt_ended(self, call: Call, result: AttemptResult, report: tuple[float, ...] | None) -> None:
+        server = self.servers.get(result.server)
         if server is None:
-            # Danger: a fleet that renames its servers with each release would grow this without end.
-            if len(self.servers) >= MOST_SERVERS:
+            # Without a limit, a fleet that renames its servers with each release would grow this forever.
+            if len(self.servers) >= MAX_SERVERS:
                 self.servers.pop(next(iter(self.servers)))
-            server = self.servers[tried.server] = ServerCount()
-        if tried.outcome is Outcome.OK:
+            server = self.servers[result.server] = ServerCount()
+        if result.outcome is Outcome.OK:
             server.served += 1
-        elif tried.outcome is not Outcome.NOT_SENT and tried.outcome is not Outcome.CANCELLED:
+        elif result.outcome is not Outcome.NOT_SENT and result.outcome is not Outcome.CANCELLED:
             server.failed += 1
-        server.outcomes[tried.outcome] += 1
+        server.outcomes[result.outcome] += 1
         if report is not None:
             server.report, server.report_at_ms = report, self._clock()
 
-    def ended(
-        self, call: Call, final: Final, why: Why | None, trail: Sequence[Tried], took_ms: float
+    def request_ended(
+        self,
+        call: Call,
+        final: RequestResult,
+        reason: GiveUpReason | None,
+        attempts: Sequence[AttemptResult],
+        took_ms: float,
     ) -> None:
-        count = self._class(call.class_name)
-        count.finals[final] += 1
-        if final is Final.SERVED:
+        count = self._class_count(call.class_name)
+        count.results[final] += 1
+        if final is RequestResult.SERVED:
             count.served_ms += 0.1 * (took_ms - count.served_ms) if count.served_ms else took_ms
             return
-        if final is Final.GONE:
+        if final is RequestResult.GONE:
             return
-        text = UNSAID if why is None else why.value
-        count.whys[final, text] += 1
+        reason_text = NO_REASON if reason is None else reason.value
+        count.reasons[final, reason_text] += 1
         request_id = call.request_id.decode("ascii", "replace")
-        ended = Ended(self._clock(), request_id, call.class_name, final, text, took_ms, tuple(trail))
-        (self.failures if final is Final.FAILED else self.refusals).append(ended)
-
-    def not_taken(self, call: Call, why: str) -> None:
-        count = self._class(call.class_name)
-        count.taken += 1
-        count.finals[Final.REFUSED] += 1
-        # The text may hold figures that change: by its first part it is one reason.
-        text = why.partition(":")[0]
-        count.whys[Final.REFUSED, text] += 1
+        unserved = UnservedRequest(
+            self._clock(), request_id, call.class_name, final, reason_text, took_ms, tuple(attempts)
+        )
+        (self.failures if final is RequestResult.FAILED else self.refusals).append(unserved)
+
+    def request_refused_early(self, call: Call, reason: str) -> None:
+        count = self._class_count(call.class_name)
+        count.accepted += 1
+        count.results[RequestResult.REFUSED] += 1
+        # The text after the colon may contain varying figures; the part before it identifies the reason.
+        reason_kind = reason.partition(":")[0]
+        count.reasons[RequestResult.REFUSED, reason_kind] += 1
         request_id = call.request_id.decode("ascii", "replace")
-        self.refusals.append(Ended(self._clock(), request_id, call.class_name, Final.REFUSED, why, 0.0, ()))
+        self.refusals.append(
+            UnservedRequest(
+                self._clock(), request_id, call.class_name, RequestResult.REFUSED, reason, 0.0, ()
+            )
+        )
 
-    def turned_away(self, status: int) -> None:
-        self.turned[status] += 1
+    def invalid_request_rejected(self, status: int) -> None:
+        self.rejected_by_status[status] += 1
 
-    def said(self, text: str) -> None:
-        self._said(text)
+    def balancer_logged(self, text: str) -> None:
+        self._on_balancer_log(text)
 
-    def _class(self, name: str) -> ClassCount:
-        found = self.classes.get(name)
-        if found is None:
-            # Danger: names come from clients; the settings' classes are here already.
-            found = self.classes.setdefault(name if len(self.classes) < MOST_CLASSES else "?", ClassCount())
-        return found
+    def _class_count(self, name: str) -> ClassCount:
+        count = self.classes.get(name)
+        if count is None:
+            # Names come from clients, so their number is limited; the configured classes exist already.
+            count = self.classes.setdefault(name if len(self.classes) < MAX_CLASSES else "?", ClassCount())
+        return count
 
-    # Time
+    # Rates
 
     def tick(self, listed: Iterable[str]) -> None:
-        """Once a second: sample the totals. Counts of servers that are neither listed nor lately used go."""
+        """Sample the totals; called once a second.
+
+        Removes the counts of servers that are neither listed nor recently used.
+        """
         now_ms = self._clock()
         oldest = self._samples[0] if self._samples else None
         listed = set(listed)
@@ -164,7 +184,7 @@
             Sample(
                 now_ms,
                 {name: (c.served, c.failed) for name, c in self.servers.items()},
-                {name: (c.taken, *_finals(c)) for name, c in self.classes.items()},
+                {name: (c.accepted, *_result_counts(c)) for name, c in self.classes.items()},
             )
         )
 
@@ -172,7 +192,7 @@
         return max(0.001, (self._clock() - self._samples[0].at_ms) / 1000)
 
     def server_rates(self, name: str) -> tuple[float, float]:
-        """Served and failed attempts a second, over the last few seconds."""
+        """Return the served and the failed attempts per second, over the last few seconds."""
         now, before = self.servers.get(name), self._samples[0].servers.get(name, (0, 0))
         if now is None:
             return 0.0, 0.0
@@ -180,14 +200,19 @@
         return (now.served - before[0]) / seconds, (now.failed - before[1]) / seconds
 
     def class_rates(self, name: str) -> dict[str, float]:
-        """Requests a second, taken and by their ends."""
+        """Return the requests per second: accepted, and by result."""
         count, before = self.classes[name], self._samples[0].classes.get(name, (0, 0, 0, 0, 0))
-        now = (count.taken, *_finals(count))
-        names = ("taken", *(final.value for final in Final))
+        now = (count.accepted, *_result_counts(count))
+        names = ("taken", *(result.value for result in RequestResult))
         seconds = self._seconds()
         return {n: (a - b) / seconds for n, a, b in zip(names, now, before, strict=True)}
 
 
-def _finals(count: ClassCount) -> tuple[int, int, int, int]:
-    finals = count.finals
-    return finals[Final.SERVED], finals[Final.REFUSED], finals[Final.FAILED], finals[Final.GONE]
+def _result_counts(count: ClassCount) -> tuple[int, int, int, int]:
+    results = count.results
+    return (
+        results[RequestResult.SERVED],
+        results[RequestResult.REFUSED],
+        results[RequestResult.FAILED],
+        results[RequestResult.GONE],
+    )
--- a/cloverrouter/control/events.py
+++ b/cloverrouter/control/events.py
@@ -1,4 +1,4 @@
-"""What happened of late that operators care about: a ring of numbered events, and who follows it."""
+"""Ring buffer of recent numbered events for operators, and the followers that receive new ones."""
 
 from __future__ import annotations
 
@@ -7,32 +7,33 @@
 
 from cloverrouter.seams import Json
 
-KEPT = 500
+MAX_EVENTS = 500
 Follower = Callable[[Json], None]
 
 
 class Events:
-    """Numbered from 1 on, in the order they came. The ring keeps the last `KEPT`."""
+    """Events numbered from 1 in the order of arrival. The ring buffer keeps the last `MAX_EVENTS`."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self._clock = clock  # Unix ms
-        self._kept: deque[Json] = deque(maxlen=KEPT)
+        self._events: deque[Json] = deque(maxlen=MAX_EVENTS)
         self.last = 0
         self.followers: set[Follower] = set()
 
-    def add(self, kind: str, what: Json) -> None:
+    def add(self, kind: str, fields: Json) -> None:
+        """Append an event and pass it to all followers."""
         self.last += 1
-        event = {"seq": self.last, "at_ms": self._clock(), "kind": kind, **what}
-        self._kept.append(event)
+        event = {"seq": self.last, "at_ms": self._clock(), "kind": kind, **fields}
+        self._events.append(event)
         for follower in list(self.followers):
             follower(event)
 
-    def since(self, seq: int, most: int = KEPT) -> tuple[list[Json], int]:
-        """The events behind `seq`, the last `most` of them, and how many are lost in between.
+    def since(self, seq: int, limit: int = MAX_EVENTS) -> tuple[list[Json], int]:
+        """Return the events after `seq`, at most the last `limit`, and the number of missing ones between.
 
-        A `seq` that lies ahead of what there is comes from before a restart: all that is kept is told.
+        A `seq` higher than the last event's is from before a restart: all stored events are returned.
         """
         seq = 0 if seq > self.last else seq
-        found = [event for event in self._kept if event["seq"] > seq][-most:]
-        first = found[0]["seq"] if found else self.last + 1
-        return found, max(0, first - seq - 1)
+        events = [event for event in self._events if event["seq"] > seq][-limit:]
+        first_seq = events[0]["seq"] if events else self.last + 1
+        return events, max(0, first_seq - seq - 1)
--- a/cloverrouter/control/tell.py
+++ b/cloverrouter/control/tell.py
@@ -1,7 +1,7 @@
-"""The commands that only tell: status, servers, load, failures, refusals, events, help.
+"""The read-only commands: status, servers, load, failures, refusals, events, look, help.
 
-What a server can do is read from the module's view, never guessed beside it; what discovery and operators
-said comes from the roster.
+A server's liveness and capacity come from the balancer's view and are not estimated again here; the states
+set by discovery and operators come from the roster.
 """
 
 from __future__ import annotations
@@ -11,16 +11,16 @@
 from dataclasses import dataclass
 from typing import Any
 
-from cloverrouter.control.book import Book
+from cloverrouter.control.book import TrafficStats
 from cloverrouter.control.events import Events
 from cloverrouter.interface import BalancerView, EndpointView
-from cloverrouter.proxy.observer import Final
+from cloverrouter.proxy.observer import RequestResult
 from cloverrouter.seams import Argument, Command, Commands, Json, Operator
 
 
 @dataclass(frozen=True, slots=True)
-class Listed:
-    """A server as the roster has it. `state` is the roster's word; `drain` who drained it and when."""
+class ListedServer:
+    """A server of the roster. `state` is its state there; `drain` tells who drained it and when."""
 
     server: str
     state: str
@@ -31,40 +31,41 @@
 
 @dataclass(frozen=True, slots=True)
 class Sources:
-    """Where the answers come from; each is read when asked and changed by nothing here."""
+    """Sources of the commands' results; they are read when a command runs and never modified."""
 
     name: str
     boot: str
     started_ms: float  # Unix
     clock: Callable[[], float]  # Unix ms
     view: Callable[[], BalancerView]
-    roster: Callable[[], list[Listed]]
+    roster: Callable[[], list[ListedServer]]
     condition: Callable[[EndpointView], str]
-    clients: Callable[[], int]  # connections of clients that are open
-    protocols: Callable[[], Json]  # the same and more, by protocol
-    protocol: Callable[[str], str]  # by which a server is asked now
+    clients: Callable[[], int]  # open client connections
+    protocols: Callable[[], Json]  # counts by protocol, of client connections and others
+    protocol: Callable[[str], str]  # the protocol now used for a server
     stopping: Callable[[], bool]
     alarms: Callable[[], list[str]]
-    standing: Callable[[], Json]  # how often and for how long this process stood still
-    contained_errors: Callable[[], dict[str, int]]  # that were kept to one connection or request, by place
-    pair: Callable[[], Json | None]  # the role of a box of a pair; None: it is none
+    pause_report: Callable[[], Json]  # number and duration of this process's pauses
+    contained_errors: Callable[[], dict[str, int]]  # errors limited to one connection or request, by place
+    pair: Callable[[], Json | None]  # the role of a member of a pair; None: not in a pair
     report_fields: tuple[str, ...]
-    book: Book
+    stats: TrafficStats
     events: Events
 
 
 def totals(sources: Sources) -> Json:
-    """Requests a second over all classes, and since the start."""
+    """Return the requests of all classes: per second, and in total since the start."""
     rates: Counter[str] = Counter()
     counts: Counter[str] = Counter()
-    for name, count in sources.book.classes.items():
-        rates.update(sources.book.class_rates(name))
-        counts["taken"] += count.taken
-        counts.update({final.value: n for final, n in count.finals.items()})
+    for name, count in sources.stats.classes.items():
+        rates.update(sources.stats.class_rates(name))
+        counts["taken"] += count.accepted
+        counts.update({result.value: n for result, n in count.results.items()})
     return {"rates": {name: round(rate, 2) for name, rate in rates.items()}, "counts": dict(counts)}
 
 
 def status(sources: Sources) -> Json:
+    """Return the state of the proxy as a whole, with its alarms."""
     view, listed = sources.view(), sources.roster()
     alarms = sources.alarms()
     healthy = sum(endpoint.healthy for endpoint in view.endpoints)
@@ -73,9 +74,12 @@
     if not listed:
         alarms = ["discovery has named no server", *alarms]
     if view.discovery_lost:
-        alarms = [*alarms, f"discovery does not answer: the list of {view.told_s:.0f} s ago stands"]
-    if view.releasing:
-        alarms = [*alarms, "the fleet is being replaced: new servers are fed by what they show"]
+        alarms = [*alarms, f"discovery does not answer: the list of {view.discovery_age_s:.0f} s ago stands"]
+    if view.rollout_in_progress:
+        alarms = [
+            *alarms,
+            "the fleet is being replaced: new servers are fed by what they show",
+        ]
     return {
         "name": sources.name,
         "boot": sources.boot,
@@ -84,13 +88,13 @@
         "stopping": sources.stopping(),
         "servers": {"listed": len(listed), "healthy": healthy, "drained": sum(bool(s.drain) for s in listed)},
         "open": view.requests,
-        "held": view.held,
+        "held": view.queued,
         "clients": sources.clients(),
         "protocols": sources.protocols(),
         "retry_tokens": round(view.retry_tokens, 1),
         "discovery": "lost" if view.discovery_lost else "well",
         "alarms": alarms,
-        "standing": sources.standing(),
+        "standing": sources.pause_report(),
         "contained_errors": sources.contained_errors(),
         "pair": sources.pair(),
         "last_event": sources.events.last,
@@ -99,14 +103,15 @@
 
 
 def servers(sources: Sources) -> list[Json]:
+    """Return the state and the statistics of each server in the roster."""
     views = {endpoint.name: endpoint for endpoint in sources.view().endpoints}
-    return [_server(sources, listed, views.get(listed.server)) for listed in sources.roster()]
+    return [_server_status(sources, listed, views.get(listed.server)) for listed in sources.roster()]
 
 
-def _server(sources: Sources, listed: Listed, view: EndpointView | None) -> Json:
-    count = sources.book.servers.get(listed.server)
-    served_s, failed_s = sources.book.server_rates(listed.server)
-    told: Json = {
+def _server_status(sources: Sources, listed: ListedServer, view: EndpointView | None) -> Json:
+    count = sources.stats.servers.get(listed.server)
+    served_s, failed_s = sources.stats.server_rates(listed.server)
+    result: Json = {
         "server": listed.server,
         "zone": listed.zone,
         "address": listed.address,
@@ -119,108 +124,128 @@
         "failed_s": round(failed_s, 2),
         "served": count.served if count else 0,
         "failed": count.failed if count else 0,
-        "outcomes": {o.value: n for o, n in count.outcomes.items()} if count else {},
+        "outcomes": {outcome.value: n for outcome, n in count.outcomes.items()} if count else {},
         "report": None,
         "report_age_s": None,
     }
     if view is not None:
-        told |= {
+        result |= {
             "in_flight": view.in_flight,
             "limit": round(view.limit, 2),
             "payoff": round(view.payoff, 3),
             "warmth": round(view.warmth, 2),
             "paused_s": round(view.paused_ms / 1000, 1),
             "latency_ms": round(view.latency_ms, 1),
-            "belief": view.belief.value,
-            "evidence": view.evidence,
+            "belief": view.liveness.value,
+            "evidence": view.liveness_reason,
         }
     if count is not None and count.report is not None:
-        told["report"] = dict(zip(sources.report_fields, count.report, strict=False))
-        told["report_age_s"] = round((sources.clock() - count.report_at_ms) / 1000, 1)
-    return told
+        result["report"] = dict(zip(sources.report_fields, count.report, strict=False))
+        result["report_age_s"] = round((sources.clock() - count.report_at_ms) / 1000, 1)
+    return result
 
 
 def load(sources: Sources) -> Json:
-    """By class: rates, totals, and for what was not served the reasons, the most frequent first."""
+    """Return rates, totals and the most frequent reasons of unserved requests, by class."""
     classes = []
-    for name, count in sources.book.classes.items():
-        whys = sorted(count.whys.items(), key=lambda item: -item[1])[:12]
+    for name, count in sources.stats.classes.items():
+        reasons = sorted(count.reasons.items(), key=lambda item: -item[1])[:12]
         classes.append(
             {
                 "class": name,
-                "taken": count.taken,
-                "rates": {k: round(v, 2) for k, v in sources.book.class_rates(name).items()},
-                "counts": {final.value: count.finals[final] for final in Final},
+                "taken": count.accepted,
+                "rates": {k: round(v, 2) for k, v in sources.stats.class_rates(name).items()},
+                "counts": {result.value: count.results[result] for result in RequestResult},
                 "served_ms": round(count.served_ms, 1),
-                "whys": [{"final": final.value, "why": why, "count": n} for (final, why), n in whys],
+                "whys": [
+                    {"final": result.value, "why": reason, "count": n} for (result, reason), n in reasons
+                ],
             }
         )
-    turned = {str(code): n for code, n in sorted(sources.book.turned.items())}
-    return {"classes": classes, "turned_away": turned, **totals(sources)}
+    rejected = {str(code): n for code, n in sorted(sources.stats.rejected_by_status.items())}
+    return {"classes": classes, "turned_away": rejected, **totals(sources)}
 
 
 def commands(sources: Sources, registry: Commands) -> tuple[Command, ...]:
-    most = Argument("count", int, "how many at most", default=20, least=1, most=200)
+    """Return the read-only commands; `help` lists all commands of `registry`."""
+    count_argument = Argument("count", int, "how many at most", default=20, minimum=1, maximum=200)
 
-    def tell_status(who: Operator, told: Mapping[str, Any]) -> Json:
+    def report_status(operator: Operator, arguments: Mapping[str, Any]) -> Json:
         return status(sources)
 
-    def tell_servers(who: Operator, told: Mapping[str, Any]) -> Json:
+    def report_servers(operator: Operator, arguments: Mapping[str, Any]) -> Json:
         return {"servers": servers(sources)}
 
-    def tell_load(who: Operator, told: Mapping[str, Any]) -> Json:
+    def report_load(operator: Operator, arguments: Mapping[str, Any]) -> Json:
         return load(sources)
 
-    def tell_failures(who: Operator, told: Mapping[str, Any]) -> Json:
-        kept = sources.book.failures
-        return {"failures": [e.told() for e in list(kept)[-told["count"] :]], "kept": len(kept)}
+    def report_failures(operator: Operator, arguments: Mapping[str, Any]) -> Json:
+        kept = sources.stats.failures
+        return {
+            "failures": [request.to_json() for request in list(kept)[-arguments["count"] :]],
+            "kept": len(kept),
+        }
 
-    def tell_refusals(who: Operator, told: Mapping[str, Any]) -> Json:
-        kept = sources.book.refusals
-        return {"refusals": [e.told() for e in list(kept)[-told["count"] :]], **load(sources)}
+    def report_refusals(operator: Operator, arguments: Mapping[str, Any]) -> Json:
+        kept = sources.stats.refusals
+        return {
+            "refusals": [request.to_json() for request in list(kept)[-arguments["count"] :]],
+            **load(sources),
+        }
 
-    def tell_events(who: Operator, told: Mapping[str, Any]) -> Json:
-        found, lost = sources.events.since(told["since"], told["count"])
+    def report_events(operator: Operator, arguments: Mapping[str, Any]) -> Json:
+        found, lost = sources.events.since(arguments["since"], arguments["count"])
         return {"events": found, "lost": lost, "last": sources.events.last}
 
-    def tell_help(who: Operator, told: Mapping[str, Any]) -> Json:
+    def report_help(operator: Operator, arguments: Mapping[str, Any]) -> Json:
         return {"commands": registry.help()}
 
-    def tell_all(who: Operator, told: Mapping[str, Any]) -> Json:
+    def report_screen(operator: Operator, arguments: Mapping[str, Any]) -> Json:
         found: Json = {"status": status(sources)}
-        match told["screen"]:
+        match arguments["screen"]:
             case "servers":
                 found["servers"] = servers(sources)
             case "load":
                 found["load"] = load(sources)
             case "failures":
-                found["failures"] = [e.told() for e in list(sources.book.failures)[-told["count"] :]]
+                found["failures"] = [
+                    request.to_json() for request in list(sources.stats.failures)[-arguments["count"] :]
+                ]
         return found
 
     return (
-        Command("status", "How the proxy is, in one look.", tell_status),
-        Command("servers", "Every server: its state and why, what is out there, its figures.", tell_servers),
-        Command("load", "Requests by class, with the reasons of what was not served.", tell_load),
-        Command("failures", "The last failed requests, with each attempt.", tell_failures, (most,)),
-        Command("refusals", "The last refused requests, and the reasons by class.", tell_refusals, (most,)),
+        Command("status", "The state of the proxy as a whole.", report_status),
+        Command(
+            "servers", "Every server: state with reason, requests in flight, statistics.", report_servers
+        ),
+        Command("load", "Requests by class, with the reasons of what was not served.", report_load),
+        Command(
+            "failures", "The last failed requests, with each attempt.", report_failures, (count_argument,)
+        ),
+        Command(
+            "refusals",
+            "The last refused requests, and the reasons by class.",
+            report_refusals,
+            (count_argument,),
+        ),
         Command(
             "events",
             "Changes by operators and discovery.",
-            tell_events,
+            report_events,
             (
-                Argument("follow", bool, "go on telling", default=False),
-                Argument("since", int, "those behind this number", default=0, least=0, most=2**53),
-                Argument("count", int, "how many at most", default=50, least=1, most=500),
+                Argument("follow", bool, "keep sending new events", default=False),
+                Argument("since", int, "only events after this number", default=0, minimum=0, maximum=2**53),
+                Argument("count", int, "how many at most", default=50, minimum=1, maximum=500),
             ),
         ),
         Command(
             "look",
             "What a console's screen shows, in one answer.",
-            tell_all,
+            report_screen,
             (
                 Argument("screen", str, "servers, load, failures or events", default="servers"),
-                Argument("count", int, "how many at most", default=20, least=1, most=200),
+                Argument("count", int, "how many at most", default=20, minimum=1, maximum=200),
             ),
         ),
-        Command("help", "The commands and their arguments.", tell_help),
+        Command("help", "The commands and their arguments.", report_help),
     )
--- a/cloverrouter/demo/__init__.py
+++ b/cloverrouter/demo/__init__.py
@@ -1,1 +1,1 @@
-"""Everything on one machine: stand-in servers, discovery and load round the real proxy, and the console."""
+"""The demo on one machine: stand-in servers, discovery and load around the real proxy, and the console."""
--- a/cloverrouter/demo/launch.py
+++ b/cloverrouter/demo/launch.py
@@ -1,4 +1,4 @@
-"""Starts the demo: the lab's world with the real proxy in it as a process of its own, the console here."""
+"""Start the demo: the lab's world and the real proxy in processes of their own, the console in this one."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from contextlib import suppress
 from pathlib import Path
 
-UP_S = 30.0
+STARTUP_TIMEOUT_S = 30.0
 
 
-def site_text(folder: Path) -> str:
-    """The operators' file of the demo."""
+def site_toml(folder: Path) -> str:
+    """The demo's settings file in TOML: control socket and state directory under `folder`."""
     return (
         f'[control]\nenabled = true\ndirectory = "{folder}/control"\n\n'
         f'[state]\nenabled = true\ndirectory = "{folder}/state"\n'
@@ -22,34 +22,40 @@
 
 
 class Demo:
-    """The world's process, and the folder that goes with it. Ends what it started, and nothing else."""
+    """The process of the lab's world, with its files in `folder`.
+
+    `close` ends this process and the proxy that it started, no others.
+    """
 
     def __init__(self, folder: Path, seconds: float, rate: float, servers: int) -> None:
         site = folder / "site.toml"
-        site.write_text(site_text(folder))
+        site.write_text(site_toml(folder))
         self.control = folder / "control" / "control.sock"
-        told = {
+        options = {
             "servers": servers,
             "rate": rate,
             "seconds": seconds,
             "folder": str(folder),
             "site": str(site),
         }
-        self._log, self._proxy_log = folder / "world.log", folder / "p-0.log"
-        with self._log.open("wb") as log:
+        self._world_log, self._proxy_log = folder / "world.log", folder / "p-0.log"
+        with self._world_log.open("wb") as log:
             self.world = subprocess.Popen(
-                [sys.executable, "-m", "cloverrouter.demo.world", json.dumps(told)],
+                [sys.executable, "-m", "cloverrouter.demo.world", json.dumps(options)],
                 stdin=subprocess.PIPE,
                 stderr=log,
-                start_new_session=True,  # a Ctrl-C in the console is not the world's
+                start_new_session=True,  # keeps a Ctrl-C in the console from sending SIGINT to the world
             )
 
-    def wait_up(self) -> str:
-        """Where the proxy serves. Raises RuntimeError, with the logs, if it does not come up."""
-        until = time.monotonic() + UP_S
+    def wait_ready(self) -> str:
+        """Wait for the proxy's control socket and return the address on which the proxy listens.
+
+        Raises RuntimeError, with the logs, if the world exits or `STARTUP_TIMEOUT_S` passes first.
+        """
+        deadline_s = time.monotonic() + STARTUP_TIMEOUT_S
         while not self.control.exists():
-            if self.world.poll() is not None or time.monotonic() > until:
-                logs = [log.read_text() for log in (self._log, self._proxy_log) if log.exists()]
+            if self.world.poll() is not None or time.monotonic() > deadline_s:
+                logs = [log.read_text() for log in (self._world_log, self._proxy_log) if log.exists()]
                 raise RuntimeError("the demo did not come up:\n" + "\n".join(logs))
             time.sleep(0.05)
         return str(json.loads((self.control.parent.parent / "p-0.json").read_text())["listen"])
@@ -57,7 +63,7 @@
     def close(self) -> None:
         assert self.world.stdin is not None
         with suppress(OSError):
-            self.world.stdin.close()  # it ends with that, and its proxy with it
+            self.world.stdin.close()  # the world exits at the end of its input, and ends its proxy
         with suppress(subprocess.TimeoutExpired):
             self.world.wait(10)
         if self.world.poll() is None:
@@ -78,7 +84,7 @@
     with tempfile.TemporaryDirectory(prefix="cloverrouter-") as folder:
         demo = Demo(Path(folder), seconds, rate, servers)
         try:
-            print(f"The proxy serves at {demo.wait_up()}; its log is {folder}/p-0.log.")
+            print(f"The proxy serves at {demo.wait_ready()}; its log is {folder}/p-0.log.")
             return console(demo.control, None, False)
         finally:
             demo.close()
--- a/cloverrouter/demo/world.py
+++ b/cloverrouter/demo/world.py
@@ -1,9 +1,9 @@
-"""The demo's world: the lab's stand-ins round the real proxy, on loopback, bounded in rate and time.
+"""The demo's world: the lab's stand-ins around the real proxy, on loopback, with limits on rate and duration.
 
     python -m cloverrouter.demo.world CONFIG
 
-CONFIG is JSON: `servers`, `rate` (requests a second), `seconds`, `folder` and `site`, the operators' file. It
-ends after its seconds, or when its standard input is closed, and ends the proxy with it.
+CONFIG is JSON: `servers`, `rate` (requests per second), `seconds`, `folder` and `site`, the settings file.
+The process ends the proxy and exits after `seconds`, or when its standard input is closed.
 """
 
 from __future__ import annotations
@@ -17,45 +17,49 @@
 from pathlib import Path
 from typing import Any
 
-from cloverrouter.lab.scenario import MOST_REQUESTS, Scenario, build, load, plain
-from cloverrouter.lab.sockets import Play
+from cloverrouter.lab.scenario import MAX_REQUESTS, Scenario, build, load, plain
+from cloverrouter.lab.sockets import SocketRun
 
-MOST_RATE, MOST_SECONDS, MOST_SERVERS, MOST_FAULTS = 200.0, 24 * 3600.0, 20, 400
-TROUBLE_EVERY_S, TROUBLE_S = 40.0, 8.0
+MAX_RATE, MAX_SECONDS, MAX_SERVERS, MAX_FAULTS = 200.0, 24 * 3600.0, 20, 400
+FAULT_INTERVAL_S, FAULT_DURATION_S = 40.0, 8.0
 
 
-def scenario_of(told: dict[str, Any]) -> Scenario:
-    """The village, as large as wished; from time to time one server fails half of what it gets, so that there
-    is something to see."""
-    rate = min(MOST_RATE, max(0.0, float(told["rate"])))
-    seconds = min(MOST_SECONDS, max(1.0, float(told["seconds"])))
+def demo_scenario(options: dict[str, Any]) -> Scenario:
+    """The scenario "village" with the rate, duration and number of servers from `options`.
+
+    Every `FAULT_INTERVAL_S` one server fails half of its requests, so that the console shows faults.
+    """
+    rate = min(MAX_RATE, max(0.0, float(options["rate"])))
+    seconds = min(MAX_SECONDS, max(1.0, float(options["seconds"])))
     if rate:
-        seconds = min(seconds, MOST_REQUESTS / rate)
-    village = plain(load("village"))
-    village["seconds"] = seconds
-    village["office"][0]["rate"] = rate
-    village["servers"][0]["count"] = max(1, min(MOST_SERVERS, int(told["servers"])))
-    village["proxies"] = {"retry_after": True, "sockets": 512}
-    village["fault"] = [
-        {"kind": "fail", "at_s": at_s, "for_s": TROUBLE_S, "count": 1, "share": 0.5}
-        for i in range(1, MOST_FAULTS)
-        if (at_s := i * TROUBLE_EVERY_S) < seconds
+        seconds = min(seconds, MAX_REQUESTS / rate)
+    settings = plain(load("village"))
+    settings["seconds"] = seconds
+    settings["office"][0]["rate"] = rate
+    settings["servers"][0]["count"] = max(1, min(MAX_SERVERS, int(options["servers"])))
+    settings["proxies"] = {"retry_after": True, "sockets": 512}
+    settings["fault"] = [
+        {"kind": "fail", "at_s": at_s, "for_s": FAULT_DURATION_S, "count": 1, "share": 0.5}
+        for i in range(1, MAX_FAULTS)
+        if (at_s := i * FAULT_INTERVAL_S) < seconds
     ]
-    return build(village, "demo")
+    return build(settings, "demo")
 
 
-async def run(told: dict[str, Any]) -> None:
-    command = [sys.executable, "-m", "cloverrouter", "run", "--site", told["site"]]
-    play = Play(scenario_of(told), 1, Path(told["folder"]), command)
-    parent = asyncio.get_running_loop().run_in_executor(None, sys.stdin.read)  # ends with the parent, however
-    playing = asyncio.ensure_future(play.run())
-    done, _ = await asyncio.wait((parent, playing), return_when=asyncio.FIRST_COMPLETED)
-    if playing in done:
-        playing.result()
+async def run(options: dict[str, Any]) -> None:
+    command = [sys.executable, "-m", "cloverrouter", "run", "--site", options["site"]]
+    play = SocketRun(demo_scenario(options), 1, Path(options["folder"]), command)
+    stdin_closed = asyncio.get_running_loop().run_in_executor(
+        None, sys.stdin.read
+    )  # returns at EOF, however the parent process ends
+    play_task = asyncio.ensure_future(play.run())
+    done, _ = await asyncio.wait((stdin_closed, play_task), return_when=asyncio.FIRST_COMPLETED)
+    if play_task in done:
+        play_task.result()
     else:
-        playing.cancel()
+        play_task.cancel()
         with suppress(asyncio.CancelledError):
-            await playing
+            await play_task
 
 
 if __name__ == "__main__":
@@ -63,6 +67,6 @@
         asyncio.run(run(json.loads(sys.argv[1])))
     except Exception:
         traceback.print_exc()
-    # The thread that waits for the parent's end would keep the process from ending by itself.
+    # A normal exit would wait for the executor's thread, which is still blocked in stdin.read().
     sys.stderr.flush()
     os._exit(0)
--- a/cloverrouter/http3/__init__.py
+++ b/cloverrouter/http3/__init__.py
@@ -1,1 +1,2 @@
-"""HTTP/3 for clients (RFC 9114 over QUIC, RFC 9000): a front beside HTTP/1.1's, through the same gate."""
+"""HTTP/3 (RFC 9114) over QUIC (RFC 9000): a frontend for clients, which shares its request validation with
+HTTP/1.1, and a carrier to servers."""
--- a/cloverrouter/http3/attempts.py
+++ b/cloverrouter/http3/attempts.py
@@ -1,8 +1,8 @@
-"""How an attempt on an HTTP/3 stream can end, and what it is told as. Rules, no I/O.
+"""The ways in which an attempt on an HTTP/3 stream can end, and the outcome of each. Pure logic, no I/O.
 
-An attempt has been *sent* when the last byte of its request, with the stream's end (FIN), was put into a
-packet that was handed to the socket; from then on it may have run. A packet that the library sends again
-belongs to the same attempt: no request goes out a second time below the decisions.
+An attempt is *sent* once the last byte of its request, with the stream's FIN, is in a packet that was handed
+to the socket; from then on the server may have run it. A packet that the QUIC library retransmits belongs to
+the same attempt: no request is sent twice below the decisions.
 """
 
 from __future__ import annotations
@@ -12,96 +12,101 @@
 
 from cloverrouter.http3.fields import Fields
 from cloverrouter.interface import Outcome
-from cloverrouter.proxy.messages import MAX_BODY, MAX_HEAD, MOST_BODY
+from cloverrouter.proxy.messages import MAX_BODY_BYTES, MAX_HEAD_BYTES, STREAMING_THRESHOLD_BYTES
 
 REQUEST_REJECTED = 0x10B  # RFC 9114, 8.1
-STALL_S = 10.0  # a long answer, or body, of which nothing moves for so long has ended
-MOST_DIGITS = 10
-FIELD_BYTES = 32  # that a field counts on top of its text (RFC 9114, 4.2.2)
+STALL_S = 10.0  # timeout of a streamed answer or body without progress
+MAX_LENGTH_DIGITS = 10
+FIELD_OVERHEAD_BYTES = 32  # counted for each field in addition to its text (RFC 9114, 4.2.2)
 
 
-class End(Enum):
-    """What an attempt's stream, or what it needed, came to."""
+class AttemptEnd(Enum):
+    """How an attempt ended without an answer. The lower-case names are counters."""
 
-    NOT_UP = "no connection came up"  # no answer, no common version, TLS or ALPN failed, refused
+    NOT_UP = "no connection established"  # no response, no common version, TLS or ALPN failed, refused
     AWAY = "GOAWAY at or below its stream"
     RESET = "reset by the server"
-    CLOSED = "the connection ended"  # by a close, a time-out, a stateless reset
-    MALFORMED = "what came is no answer"
-    STALLED = "nothing moves any more"
+    CLOSED = "the connection ended"  # by a close, a timeout or a stateless reset
+    MALFORMED = "malformed answer"
+    STALLED = "no progress on the stream"
 
 
-def outcome_of(end: End, sent: bool, code: int = 0) -> Outcome:
-    """What an attempt is told as that ended without an answer; `code`: of a reset (RFC 9114, 8.1).
+def outcome_of(end: AttemptEnd, sent: bool, code: int = 0) -> Outcome:
+    """Return the outcome of an attempt that ended without an answer; `code`: of a reset (RFC 9114, 8.1).
 
-    Told as never having run only where the standard promises it, or where its last byte had not left.
+    It is reported as never run only if the standard guarantees that or its last byte was not sent.
     """
-    if end is End.AWAY or (end is End.RESET and code == REQUEST_REJECTED):
-        return Outcome.REJECTED  # RFC 9114, 5.2 and 4.1.1: no part of it was or will be processed
-    if end is End.NOT_UP or not sent:
+    if end is AttemptEnd.AWAY or (end is AttemptEnd.RESET and code == REQUEST_REJECTED):
+        return Outcome.REJECTED  # no part of it was or will be processed (RFC 9114, 5.2 and 4.1.1)
+    if end is AttemptEnd.NOT_UP or not sent:
         return Outcome.CONNECT_FAILED
-    if end in (End.MALFORMED, End.STALLED):
+    if end in (AttemptEnd.MALFORMED, AttemptEnd.STALLED):
         return Outcome.SPOILT
     return Outcome.RESET
 
 
-class Bad(ValueError):
-    """What came is no answer; the text says why."""
+class MalformedAnswer(ValueError):
+    """The received data is not a valid answer; the text gives the reason."""
 
 
 @dataclass(slots=True)
 class Reply:
-    """An answer as it comes: its head, then its body in pieces. Raises `Bad` for what can't be one."""
+    """An answer while it is received: its head, then its body in pieces. Raises `MalformedAnswer`."""
 
     status: int = 0
-    length: int | None = None  # of its body in bytes, where the server said
+    length: int | None = None  # of the body in bytes, if declared
     content_type: bytes = b""
     report: bytes | None = None
     never_ran: bool = False
-    came: int = 0  # bytes of its body, those passed on among them
-    held: bytearray = field(default_factory=bytearray)
+    received_bytes: int = 0  # bytes of the body, including those already forwarded
+    buffered: bytearray = field(default_factory=bytearray)
 
-    def head(self, fields: Fields) -> bool:
-        """A field section. False: an interim answer, the real one follows (RFC 9114, 4.1)."""
+    def receive_head(self, fields: Fields) -> bool:
+        """Process a field section. False: an interim answer, the final one follows (RFC 9114, 4.1)."""
         if self.status:
-            return True  # danger: trailers behind the body would change what the head has said
-        # Danger: a head is held whole, and the server chooses its size.
-        if sum(len(name) + len(value) + FIELD_BYTES for name, value in fields) > 2 * MAX_HEAD:
-            raise Bad("its head is too large")
-        told = dict(fields)
-        status = told.get(b":status", b"")
+            return True  # trailers must not override the head
+        # The server chooses the size of the head, which is buffered as a whole.
+        if sum(len(name) + len(value) + FIELD_OVERHEAD_BYTES for name, value in fields) > 2 * MAX_HEAD_BYTES:
+            raise MalformedAnswer("head is too large")
+        values = dict(fields)
+        status = values.get(b":status", b"")
         if len(status) != 3 or not status.isdigit():
-            raise Bad(f"status {status[:10]!r}")
+            raise MalformedAnswer(f"status {status[:10]!r}")
         if status[:1] == b"1":
             return False
         self.status = int(status)
-        if (length := told.get(b"content-length")) is not None:
-            if not length.isdigit() or len(length) > MOST_DIGITS:
-                raise Bad(f"content-length {length[:20]!r}")
+        if (length := values.get(b"content-length")) is not None:
+            if not length.isdigit() or len(length) > MAX_LENGTH_DIGITS:
+                raise MalformedAnswer(f"content-length {length[:20]!r}")
             self.length = int(length)
-            if self.length > MOST_BODY:  # danger: gigabytes would be read to no use
-                raise Bad("too large")
-        self.content_type = told.get(b"content-type", b"")
-        self.report = told.get(b"x-server-load")
-        self.never_ran = told.get(b"x-not-processed", b"").strip() == b"1"
+            if self.length > MAX_BODY_BYTES:  # otherwise gigabytes would be read and then discarded
+                raise MalformedAnswer("body is too large")
+        self.content_type = values.get(b"content-type", b"")
+        self.report = values.get(b"x-server-load")
+        self.never_ran = values.get(b"x-not-processed", b"").strip() == b"1"
         return True
 
-    def body(self, data: bytes) -> None:
+    def receive_body(self, data: bytes) -> None:
+        """Buffer a piece of the body."""
         if not self.status:
-            raise Bad("a body without a head")
-        self.came += len(data)
-        if self.came > MOST_BODY or (self.length is not None and self.came > self.length):
-            raise Bad("longer than it said" if self.length is not None else "too large")
-        self.held += data
-
-    def whole(self) -> None:
-        """Its stream's end has come."""
+            raise MalformedAnswer("body without a head")
+        self.received_bytes += len(data)
+        if self.received_bytes > MAX_BODY_BYTES or (
+            self.length is not None and self.received_bytes > self.length
+        ):
+            raise MalformedAnswer(
+                "body is longer than declared" if self.length is not None else "body is too large"
+            )
+        self.buffered += data
+
+    def check_complete(self) -> None:
+        """Check the answer at the end of its stream."""
         if not self.status:
-            raise Bad("an end without an answer")
-        if self.length is not None and self.came != self.length:
-            raise Bad("shorter than it said")
+            raise MalformedAnswer("stream ended without an answer")
+        if self.length is not None and self.received_bytes != self.length:
+            raise MalformedAnswer("body is shorter than declared")
 
     @property
-    def long(self) -> bool:
-        """Too long to be held whole?"""
-        return max(self.came, self.length or 0) > MAX_BODY
+    def exceeds_buffer(self) -> bool:
+        """Whether it is too long to be buffered as a whole."""
+        return max(self.received_bytes, self.length or 0) > STREAMING_THRESHOLD_BYTES
