--- a/cloverrouter/http3/carrier.py
+++ b/cloverrouter/http3/carrier.py
@@ -1,8 +1,8 @@
-"""HTTP/3 to servers: attempts to streams, and one outcome back for each. Carries out, decides nothing.
+"""The HTTP/3 carrier: sends each attempt on a stream to its server, and reports one outcome for it.
 
-How a server is reached stands in `http3.ways`, what an end means in `http3.attempts`. Servers that do not
-speak HTTP/3, or do not now, are left to the carrier of HTTP/1.1. The UDP port is the one of the same number
-as the server's listed TCP port.
+The protocol and the connection are chosen by `http3.ways`, outcomes are defined in `http3.attempts`. Servers
+that are not reached over HTTP/3 are left to the HTTP/1.1 carrier. The UDP port has the same number as the TCP
+port in the server's list entry.
 """
 
 from __future__ import annotations
@@ -21,36 +21,41 @@
 from aioquic.quic import events as quic
 from aioquic.quic.configuration import QuicConfiguration
 
-from cloverrouter.http3.attempts import STALL_S, Bad, End, Reply, outcome_of
+from cloverrouter.http3.attempts import STALL_S, AttemptEnd, MalformedAnswer, Reply, outcome_of
 from cloverrouter.http3.fields import request_fields
-from cloverrouter.http3.link import Link
-from cloverrouter.http3.ways import HANDSHAKES, Speech, choose, leads_nowhere
-from cloverrouter.http3.wire import Away, Http3Client, Malformed, NetworkAddress, QuicClient
-from cloverrouter.interface import Outcome, Sign
-from cloverrouter.proxy.carrier import Carrier as PlainCarrier
-from cloverrouter.proxy.carrier import Sent
+from cloverrouter.http3.link import ConnectionBase
+from cloverrouter.http3.ways import (
+    HANDSHAKE_TIMEOUT_FACTOR,
+    Http3Availability,
+    choose_connection,
+    is_unresponsive,
+)
+from cloverrouter.http3.wire import GoawayReceived, Http3Client, MalformedStream, NetworkAddress, QuicClient
+from cloverrouter.interface import ConnectionSignal, Outcome
+from cloverrouter.proxy.carrier import Carrier as Http1Carrier
+from cloverrouter.proxy.carrier import SentAttempt
 from cloverrouter.proxy.containment import Periodic, contained_errors_of
-from cloverrouter.proxy.descriptors import missing, room_of
+from cloverrouter.proxy.descriptors import descriptor_budget_of, is_descriptor_exhaustion
 from cloverrouter.proxy.exchange import Host, OnBegin, OnEnd
 from cloverrouter.proxy.exchange import outcome_of as outcome_of_answer
 from cloverrouter.proxy.messages import Answer, AnswerSink, Call
-from cloverrouter.proxy.upstream import IDLE_SHARE
+from cloverrouter.proxy.upstream import IDLE_TIMEOUT_FRACTION
 
 SWEEP_S = 0.5
-READ_AT_ONCE = 16  # datagrams, then the others have their turn
-MOST_DATAGRAM = 65_535
-RECEIVE_BYTES = 256 * 1024  # that may wait in a connection's socket
-PASSING_BYTES = 32 * 1024  # of a long body may wait for its server before its client is to wait, too
-ALIVE_S = 3.0  # a server that owes an answer and is silent for so long is asked whether it is there
+MAX_READS_AT_ONCE = 16  # datagrams, before other sockets are read
+MAX_DATAGRAM_BYTES = 65_535
+RECEIVE_BUFFER_BYTES = 256 * 1024  # receive buffer of a connection's socket
+MAX_PENDING_BODY_BYTES = 32 * 1024  # of a streamed body, buffered for its server before its client is paused
+ALIVE_S = 3.0  # a server that has requests and is silent for this long gets a PING
 log = logging.getLogger(__name__)
 
 
 class Exchange:
-    """One attempt; the node's `Sent`. Ends once, by `on_end` or silently by `abandon`."""
+    """One attempt: a `SentAttempt` and a `BodySink`. Ends once, with `on_end` or without by `abandon`."""
 
     __slots__ = (
-        "call", "full", "lane", "moved_s", "on_begin", "on_end", "on_open", "reply", "sent_s", "sign", "sink",
-        "stream", "stuck", "timeout_ms", "until_s", "written",
+        "answer_paused", "body_paused", "call", "connection", "on_begin", "on_end", "on_open", "progress_s",
+        "reply", "send_deadline_s", "sent_s", "signal", "sink", "stream_id", "timeout_ms", "written",
     )  # fmt: skip
 
     def __init__(
@@ -62,428 +67,448 @@
         on_open: Callable[[], None] | None,
     ) -> None:
         self.call, self.timeout_ms = call, timeout_ms
-        self.until_s = float("inf")  # from then on it is not to go out any more
+        self.send_deadline_s = float("inf")  # not sent any more from then on
         self.on_end: OnEnd | None = on_end
         self.on_begin, self.on_open = on_begin, on_open
-        self.sign: Sign | None = None
+        self.signal: ConnectionSignal | None = None
         self.written = False
-        self.lane: Lane | None = None
-        self.stream: int | None = None  # once its head was handed to the connection
-        self.sent_s = self.moved_s = 0.0
+        self.connection: ServerConnection | None = None
+        self.stream_id: int | None = None  # set when its head is handed to the connection
+        self.sent_s = self.progress_s = 0.0
         self.reply = Reply()
         self.sink: AnswerSink | None = None
-        self.stuck = False  # the client has enough of a long answer for now
-        self.full = False  # the server has enough of a long body for now
+        self.answer_paused = False  # the client reads a streamed answer too slowly
+        self.body_paused = False  # the server reads a streamed body too slowly
 
     @property
     def begun(self) -> bool:
-        return self.stream is not None
+        """Whether its head was handed to the connection."""
+        return self.stream_id is not None
 
     def end(self, outcome: Outcome, answer: Answer | None = None) -> None:
+        """Report the outcome, unless the attempt was abandoned or has ended."""
         on_end, self.on_end = self.on_end, None
         if on_end is not None:
             on_end(outcome, answer)
 
     def abandon(self) -> None:
+        """Cancel the attempt without calling `on_end`."""
         self.on_end = None
-        if self.lane is not None:
-            self.lane.abandoned(self)
+        if self.connection is not None:
+            self.connection.cancel_attempt(self)
 
-    # A `BodySink`: the rest of a body that is passed on as it comes
+    # The methods of `BodySink`, for a body that is streamed
 
-    def more(self, data: bytes) -> bool:
-        if self.lane is None or self.stream is None:
+    def write_body(self, data: bytes) -> bool:
+        """Send a piece of the body; False asks for a pause: the server reads too slowly."""
+        if self.connection is None or self.stream_id is None:
             return False
-        self.full = not self.lane.pass_on(self, data, end=False)
-        return not self.full
-
-    def whole(self) -> None:
-        if self.lane is not None and self.stream is not None:
-            self.lane.pass_on(self, b"", end=True)
-
-    def look(self, waiting: int) -> None:
-        """Some of its body may have been read."""
-        if self.full and waiting < PASSING_BYTES and self.call.upload is not None:
-            self.full = False
-            self.call.upload.go_on()
-
-
-class Lane(Link):
+        self.body_paused = not self.connection.send_body(self, data, end=False)
+        return not self.body_paused
+
+    def finish_body(self) -> None:
+        """Mark the end of a complete body."""
+        if self.connection is not None and self.stream_id is not None:
+            self.connection.send_body(self, b"", end=True)
+
+    def resume_body(self, unacknowledged_bytes: int) -> None:
+        """Resume a paused body once the server has acknowledged enough of it."""
+        if (
+            self.body_paused
+            and unacknowledged_bytes < MAX_PENDING_BODY_BYTES
+            and self.call.upload is not None
+        ):
+            self.body_paused = False
+            self.call.upload.resume()
+
+
+class ServerConnection(ConnectionBase):
     """One QUIC connection to a server, on a socket of its own."""
 
-    def __init__(self, carrier: Carrier, host: Host, sock: socket.socket, told: QuicConfiguration) -> None:
-        self.quic = QuicClient(told)
+    def __init__(
+        self, carrier: Carrier, host: Host, sock: socket.socket, settings: QuicConfiguration
+    ) -> None:
+        self.quic = QuicClient(settings)
         super().__init__(carrier.loop, self.quic, host[0], carrier.count)
         self.host, self._carrier, self._sock = host, carrier, sock
-        self.up = False
-        self.leaving = False  # it takes no more requests, and ends with those that it has
-        self.sign: Sign | None = None  # if it does not come up
-        self.idle_since = self.heard_s
-        self._name = told.server_name or ""
-        self._nowhere = False
+        self.established = False
+        self.draining = False  # it accepts no more requests, and closes after those that it has
+        self.failure_signal: ConnectionSignal | None = None  # if it can't be established
+        self.idle_since_s = self.received_s
+        self._server_name = settings.server_name or ""
+        self._unresponsive = False
         self._http: Http3Client | None = None
-        self._waiting: list[Exchange] = []  # for it to come up
-        self._out: dict[int, Exchange] = {}
+        self._queued: list[Exchange] = []  # queued until the handshake completes
+        self._active: dict[int, Exchange] = {}
         self._unsent: dict[int, Exchange] = {}
-        self._due = carrier.loop.call_later(carrier.handshake_s, self._too_late)
+        self._handshake_timer = carrier.loop.call_later(carrier.handshake_s, self._on_handshake_timeout)
         carrier.loop.add_reader(sock, self._read)
-        self._guarded(lambda: self.quic.connect(host[1], now=self.heard_s))
+        self._call_library(lambda: self.quic.connect(host[1], now=self.received_s))
         self.flush()
 
-    # A `ways.Lane`
+    # The properties of `ways.SelectableConnection`
 
     @property
     def usable(self) -> bool:
-        return not (self.over or self.leaving or self._nowhere)
+        """Whether it accepts requests."""
+        return not (self.closed or self.draining or self._unresponsive)
 
     @property
     def load(self) -> int:
-        return len(self._waiting) + len(self._out)
+        """Requests on it, including queued ones."""
+        return len(self._queued) + len(self._active)
 
     @property
-    def room(self) -> int:
-        return self.quic.room
+    def available_streams(self) -> int:
+        """How many more streams the server allows."""
+        return self.quic.available_streams
 
-    # A `Link`
+    # Overrides of `ConnectionBase`
 
     def _read(self) -> None:
-        for _ in range(READ_AT_ONCE):
-            if self.over:
+        for _ in range(MAX_READS_AT_ONCE):
+            if self.closed:
                 return
             try:
-                data = self._sock.recv(MOST_DATAGRAM)
+                data = self._sock.recv(MAX_DATAGRAM_BYTES)
             except (BlockingIOError, InterruptedError):
                 break
             except OSError as error:
-                self._unreachable(error)
+                self._on_socket_error(error)
                 return
             if self.quic.is_reset(data):
-                # Danger: read by the library it would be noise, and all that is out would wait in vain.
+                # The library would discard it, and the requests in progress would wait until a timeout.
                 self._count["reset"] += 1
                 self._end()
-                self._carrier.on_sign(self.host[0], Sign.HUNG_UP)
+                self._carrier.on_signal(self.host[0], ConnectionSignal.CLOSED_BY_PEER)
                 return
-            self._nowhere = False
+            self._unresponsive = False
             self.receive(data, self.host[1])
-        if not self.over:
+        if not self.closed:
             self.settle()
 
     def _send(self, data: bytes, address: NetworkAddress) -> None:
-        if self.over:
+        if self.closed:
             return
         try:
             self._sock.send(data)
         except (BlockingIOError, InterruptedError):
-            self._count["unsent"] += 1  # a packet that is lost is sent again
+            self._count["unsent"] += 1  # QUIC retransmits lost packets
         except OSError as error:
-            self._unreachable(error)
+            self._on_socket_error(error)
 
-    def _unreachable(self, error: OSError) -> None:
-        """The server's machine says that nobody is at that port."""
+    def _on_socket_error(self, error: OSError) -> None:
+        """End the connection on a socket error, such as a closed port reported by the server's machine."""
         if isinstance(error, ConnectionRefusedError):
-            self.sign = Sign.REFUSED
+            self.failure_signal = ConnectionSignal.REFUSED
         self._end()
 
-    def _flushed(self) -> None:
-        for number, exchange in list(self._unsent.items()):
-            if self.quic.sent(number):
+    def _on_flushed(self) -> None:
+        for stream_id, exchange in list(self._unsent.items()):
+            if self.quic.all_sent(stream_id):
                 exchange.written, exchange.sent_s = True, self._loop.time()
-                del self._unsent[number]
-            elif exchange.full:
-                exchange.look(self.quic.waiting(number))
+                del self._unsent[stream_id]
+            elif exchange.body_paused:
+                exchange.resume_body(self.quic.unacknowledged_bytes(stream_id))
 
-    def _too_late(self) -> None:
-        """Its handshake has not come to its end in time."""
-        self.sign = Sign.UNANSWERED
+    def _on_handshake_timeout(self) -> None:
+        """End the connection: its handshake did not complete in time."""
+        self.failure_signal = ConnectionSignal.CONNECT_TIMEOUT
         self._end()
 
-    def _happened(self, event: quic.QuicEvent) -> None:
+    def _on_quic_event(self, event: quic.QuicEvent) -> None:
         if isinstance(event, quic.HandshakeCompleted):
-            self._came_up()
+            self._on_established()
         elif isinstance(event, quic.ConnectionTerminated):
             self._end()
         elif self._http is not None:
             http = self._http
-            for told in self._guarded(lambda: http.handle_event(event)) or ():
-                self._said(told)
+            for http_event in self._call_library(lambda: http.handle_event(event)) or ():
+                self._on_http_event(http_event)
             if isinstance(event, quic.StreamReset | quic.StopSendingReceived):
-                self._ended_by_server(event)
+                self._on_stream_ended_by_server(event)
 
-    def _came_up(self) -> None:
-        self._due.cancel()
-        self._http = self._guarded(lambda: Http3Client(self.quic))
-        if self.over:
+    def _on_established(self) -> None:
+        self._handshake_timer.cancel()
+        self._http = self._call_library(lambda: Http3Client(self.quic))
+        if self.closed:
             return
-        self.up = True
-        self.idle_since = self._loop.time()
-        self._carrier.came_up(self)
-        waiting, self._waiting = self._waiting, []
-        for exchange in waiting:
+        self.established = True
+        self.idle_since_s = self._loop.time()
+        self._carrier.on_established(self)
+        queued, self._queued = self._queued, []
+        for exchange in queued:
             if exchange.on_open is not None:
                 exchange.on_open()
-            if self.over or self.leaving:
-                exchange.lane = None
-                exchange.end(outcome_of(End.NOT_UP, False))
-            elif self._loop.time() >= exchange.until_s or exchange.call.left():
-                # Danger: after a stop this is read before the time-out that is due, too; and the client may
-                # have gone meanwhile.
-                exchange.lane = None
+            if self.closed or self.draining:
+                exchange.connection = None
+                exchange.end(outcome_of(AttemptEnd.NOT_UP, False))
+            elif self._loop.time() >= exchange.send_deadline_s or exchange.call.is_disconnected():
+                # After a process pause this runs before a timeout that is due; and the client may have
+                # disconnected meanwhile.
+                exchange.connection = None
                 exchange.end(Outcome.NOT_SENT)
             else:
-                self._begin(exchange)
+                self._send_request(exchange)
         self.flush_soon()
 
     # Attempts
 
-    def take(self, exchange: Exchange) -> None:
-        exchange.lane = self
-        if self.up:
+    def submit(self, exchange: Exchange) -> None:
+        """Send an attempt, now or once the handshake completes."""
+        exchange.connection = self
+        if self.established:
             if exchange.on_open is not None:
                 exchange.on_open()
-            self._begin(exchange)
+            self._send_request(exchange)
             self.flush_soon()
         else:
-            self._waiting.append(exchange)
+            self._queued.append(exchange)
 
-    def _begin(self, exchange: Exchange) -> None:
+    def _send_request(self, exchange: Exchange) -> None:
         http, call, upload = self._http, exchange.call, exchange.call.upload
         if exchange.on_end is None or http is None:
-            exchange.lane = None
-            return  # given up in the meantime: it must not go out any more
-        number = exchange.stream = self.quic.get_next_available_stream_id()
-        self._out[number] = self._unsent[number] = exchange
-        exchange.moved_s = self._loop.time()
-        fields = request_fields(call, self._name, exchange.timeout_ms)
-        alone = upload is None and not call.body
-        self._guarded(lambda: http.send_headers(number, fields, alone))
-        if call.body and not self.over:
-            self._guarded(lambda: http.send_data(number, call.body, upload is None))
-        if upload is not None and not self.over:
+            exchange.connection = None
+            return  # abandoned meanwhile: it must not be sent any more
+        stream_id = exchange.stream_id = self.quic.get_next_available_stream_id()
+        self._active[stream_id] = self._unsent[stream_id] = exchange
+        exchange.progress_s = self._loop.time()
+        fields = request_fields(call, self._server_name, exchange.timeout_ms)
+        without_body = upload is None and not call.body
+        self._call_library(lambda: http.send_headers(stream_id, fields, without_body))
+        if call.body and not self.closed:
+            self._call_library(lambda: http.send_data(stream_id, call.body, upload is None))
+        if upload is not None and not self.closed:
             upload.attach(exchange)
 
-    def pass_on(self, exchange: Exchange, data: bytes, end: bool) -> bool:
-        """More of a body. False: enough for now."""
-        http, number = self._http, exchange.stream
-        if self.over or http is None or number is None or not self.quic.writable(number):
+    def send_body(self, exchange: Exchange, data: bytes, end: bool) -> bool:
+        """Send a piece of a body. False: the server reads too slowly."""
+        http, stream_id = self._http, exchange.stream_id
+        if self.closed or http is None or stream_id is None or not self.quic.writable(stream_id):
             return False
-        exchange.moved_s = self._loop.time()
-        self._guarded(lambda: http.send_data(number, data, end))
+        exchange.progress_s = self._loop.time()
+        self._call_library(lambda: http.send_data(stream_id, data, end))
         self.flush_soon()
-        return not self.over and self.quic.waiting(number) < PASSING_BYTES
-
-    def abandoned(self, exchange: Exchange) -> None:
-        """Given up from our side."""
-        if exchange in self._waiting:
-            self._waiting.remove(exchange)
-        elif exchange.stream in self._out:
-            if exchange.written and leads_nowhere(self.heard_s, exchange.sent_s):
-                self._nowhere = True
-            self._drop(exchange)
-        exchange.lane = None
-
-    def _drop(self, exchange: Exchange, answered: bool = False) -> None:
-        """Its stream is of no further use: what has not gone out never will."""
-        number = exchange.stream
-        assert number is not None
-        del self._out[number]
-        self._unsent.pop(number, None)
-        self.quic.hold(number, False)
-        if not self._out:
-            self.idle_since = self._loop.time()
-        if not self.over:
-            self._guarded(lambda: self._cancel(number, answered))
+        return not self.closed and self.quic.unacknowledged_bytes(stream_id) < MAX_PENDING_BODY_BYTES
+
+    def cancel_attempt(self, exchange: Exchange) -> None:
+        """Cancel an attempt that was abandoned."""
+        if exchange in self._queued:
+            self._queued.remove(exchange)
+        elif exchange.stream_id in self._active:
+            if exchange.written and is_unresponsive(self.received_s, exchange.sent_s):
+                self._unresponsive = True
+            self._release_stream(exchange)
+        exchange.connection = None
+
+    def _release_stream(self, exchange: Exchange, answered: bool = False) -> None:
+        """Release the stream of an attempt that ends; unsent data is discarded."""
+        stream_id = exchange.stream_id
+        assert stream_id is not None
+        del self._active[stream_id]
+        self._unsent.pop(stream_id, None)
+        self.quic.set_receive_paused(stream_id, False)
+        if not self._active:
+            self.idle_since_s = self._loop.time()
+        if not self.closed:
+            self._call_library(lambda: self._cancel_stream(stream_id, answered))
             self.flush_soon()
 
-    def _cancel(self, number: int, answered: bool) -> None:
-        if self.quic.readable(number):
-            self.quic.stop_stream(number, ErrorCode.H3_REQUEST_CANCELLED)
-        # Danger: a packet that was lost would be sent again, and the request run long after it was given up.
-        if not answered or not self.quic.sent(number):
-            self.quic.reset_stream(number, ErrorCode.H3_REQUEST_CANCELLED)
+    def _cancel_stream(self, stream_id: int, answered: bool) -> None:
+        if self.quic.readable(stream_id):
+            self.quic.stop_stream(stream_id, ErrorCode.H3_REQUEST_CANCELLED)
+        # Otherwise a lost packet would be retransmitted, and an abandoned request run long after its end.
+        if not answered or not self.quic.all_sent(stream_id):
+            self.quic.reset_stream(stream_id, ErrorCode.H3_REQUEST_CANCELLED)
 
-    def _lose(self, exchange: Exchange, end: End, code: int = 0, why: str = "") -> None:
-        """It ends without an answer."""
+    def _fail(self, exchange: Exchange, end: AttemptEnd, code: int = 0, reason: str = "") -> None:
+        """End an attempt without an answer."""
         outcome = outcome_of(end, exchange.written, code)
         if outcome is Outcome.SPOILT:
-            log.warning("spoilt answer from %s: %s", self.host[0], why or end.value)
+            log.warning("spoilt answer from %s: %s", self.host[0], reason or end.value)
         self._count[end.name.lower()] += 1
-        self._drop(exchange)
-        exchange.lane = None
+        self._release_stream(exchange)
+        exchange.connection = None
         if exchange.sink is not None:
-            exchange.sink.cut()
+            exchange.sink.abort()
         exchange.end(outcome)
 
-    def _ended_by_server(self, event: quic.StreamReset | quic.StopSendingReceived) -> None:
-        exchange = self._out.get(event.stream_id)
+    def _on_stream_ended_by_server(self, event: quic.StreamReset | quic.StopSendingReceived) -> None:
+        exchange = self._active.get(event.stream_id)
         if exchange is None:
             return
         if isinstance(event, quic.StreamReset) or event.error_code == ErrorCode.H3_REQUEST_REJECTED:
-            self._lose(exchange, End.RESET, event.error_code)
-        # Else the rest of the body is not wanted, and an answer is to come.
+            self._fail(exchange, AttemptEnd.RESET, event.error_code)
+        # Otherwise the server does not need the rest of the body, and an answer follows.
 
     # Answers
 
-    def _said(self, told: h3.H3Event) -> None:
-        if isinstance(told, Away):
-            self._away(told.bound)
+    def _on_http_event(self, event: h3.H3Event) -> None:
+        if isinstance(event, GoawayReceived):
+            self._on_goaway(event.bound)
             return
-        if not isinstance(told, h3.HeadersReceived | h3.DataReceived | Malformed):
+        if not isinstance(event, h3.HeadersReceived | h3.DataReceived | MalformedStream):
             return
-        exchange = self._out.get(told.stream_id)
+        exchange = self._active.get(event.stream_id)
         if exchange is None:
-            return  # given up already
-        exchange.moved_s = self._loop.time()
+            return  # abandoned already
+        exchange.progress_s = self._loop.time()
         reply = exchange.reply
         try:
-            if isinstance(told, Malformed):
-                raise Bad(told.why)
-            if isinstance(told, h3.HeadersReceived):
-                reply.head(told.headers)
+            if isinstance(event, MalformedStream):
+                raise MalformedAnswer(event.reason)
+            if isinstance(event, h3.HeadersReceived):
+                reply.receive_head(event.headers)
             else:
-                reply.body(told.data)
-            if told.stream_ended:
-                reply.whole()
+                reply.receive_body(event.data)
+            if event.stream_ended:
+                reply.check_complete()
                 self._finish(exchange)
-            elif reply.status and reply.held and (exchange.sink is not None or reply.long):
-                self._pass_on(exchange)
-        except Bad as why:
-            self._lose(exchange, End.MALFORMED, why=str(why))
+            elif reply.status and reply.buffered and (exchange.sink is not None or reply.exceeds_buffer):
+                self._forward_answer(exchange)
+        except MalformedAnswer as error:
+            self._fail(exchange, AttemptEnd.MALFORMED, reason=str(error))
 
     def _answer(self, reply: Reply, body: bytes) -> Answer:
         return Answer(reply.status, body, reply.content_type, reply.never_ran, reply.report, reply.length)
 
-    def _pass_on(self, exchange: Exchange) -> None:
-        """A long answer: its pieces go on as they come, as fast as the client reads them."""
+    def _forward_answer(self, exchange: Exchange) -> None:
+        """Forward the received part of a long answer, and pause its server if the client reads too slowly."""
         reply = exchange.reply
         if exchange.sink is None:
             answer = self._answer(reply, b"")
             if outcome_of_answer(answer) is Outcome.OK and exchange.written and exchange.on_begin is not None:
                 exchange.sink = exchange.on_begin(answer)
-            if exchange.lane is not self:
-                return  # given up in that very step
+            if exchange.connection is not self:
+                return  # abandoned by that callback
             if exchange.sink is None:
-                raise Bad("too large")
-            exchange.sink.on_ready = lambda: self._ready(exchange)
-        piece = bytes(reply.held)
-        reply.held.clear()
-        if not exchange.sink.write(piece) and not exchange.stuck and exchange.stream is not None:
-            exchange.stuck = True
-            self.quic.hold(exchange.stream, True)
-
-    def _ready(self, exchange: Exchange) -> None:
-        if exchange.stuck and exchange.stream is not None and not self.over:
-            exchange.stuck = False
-            exchange.moved_s = self._loop.time()
-            self.quic.hold(exchange.stream, False)
+                raise MalformedAnswer("too large to be buffered")
+            exchange.sink.on_ready = lambda: self._resume_answer(exchange)
+        piece = bytes(reply.buffered)
+        reply.buffered.clear()
+        if not exchange.sink.write(piece) and not exchange.answer_paused and exchange.stream_id is not None:
+            exchange.answer_paused = True
+            self.quic.set_receive_paused(exchange.stream_id, True)
+
+    def _resume_answer(self, exchange: Exchange) -> None:
+        if exchange.answer_paused and exchange.stream_id is not None and not self.closed:
+            exchange.answer_paused = False
+            exchange.progress_s = self._loop.time()
+            self.quic.set_receive_paused(exchange.stream_id, False)
             self.flush_soon()
 
     def _finish(self, exchange: Exchange) -> None:
         reply, sink = exchange.reply, exchange.sink
-        self._drop(exchange, answered=True)
-        exchange.lane = None
-        answer = self._answer(reply, bytes(reply.held))
+        self._release_stream(exchange, answered=True)
+        exchange.connection = None
+        answer = self._answer(reply, bytes(reply.buffered))
         if sink is not None:
             if answer.body:
                 sink.write(answer.body)
             sink.finish()
         exchange.end(outcome_of_answer(answer), answer)
 
-    # Its end
+    # Drain and close
 
-    def _away(self, bound: int) -> None:
-        """The server is about to go: what it has not looked at may be sent elsewhere."""
-        self.leave()
-        for number, exchange in list(self._out.items()):
-            if number >= bound:
-                self._lose(exchange, End.AWAY)
+    def _on_goaway(self, bound: int) -> None:
+        """Handle GOAWAY: requests that the server has not processed may be sent elsewhere."""
+        self.drain()
+        for stream_id, exchange in list(self._active.items()):
+            if stream_id >= bound:
+                self._fail(exchange, AttemptEnd.AWAY)
 
-    def leave(self) -> None:
-        """No more requests on it; it ends with those that it has, at the next look after them."""
-        self.leaving = True
+    def drain(self) -> None:
+        """Accept no more requests; close now if idle, otherwise in the first check after the last request."""
+        self.draining = True
         if not self.load:
             self.close()
 
     def close(self) -> None:
-        if not self.over:
-            self._guarded(lambda: self.quic.close(error_code=ErrorCode.H3_NO_ERROR))
+        """Close the connection now."""
+        if not self.closed:
+            self._call_library(lambda: self.quic.close(error_code=ErrorCode.H3_NO_ERROR))
             self.flush()
             self._end()
 
     def _end(self) -> None:
-        if self.over:
+        if self.closed:
             return
-        self.over = True
+        self.closed = True
         self._stop_timer()
-        self._due.cancel()
+        self._handshake_timer.cancel()
         self._loop.remove_reader(self._sock)
         self._sock.close()
-        # Danger: one that is not wanted any more would speak against its server's HTTP/3.
-        self._carrier.ended(self, failed=not self.up and not self.leaving)
-        waiting, self._waiting = self._waiting, []
-        for exchange in waiting:
-            exchange.sign, exchange.lane = self._carrier.sign_of(self), None
-            exchange.end(outcome_of(End.NOT_UP, False))
-        for exchange in list(self._out.values()):
-            self._lose(exchange, End.CLOSED)
+        # A connection that is closed during a drain is no evidence against HTTP/3 on its server.
+        self._carrier.remove(self, failed=not self.established and not self.draining)
+        queued, self._queued = self._queued, []
+        for exchange in queued:
+            exchange.signal, exchange.connection = self._carrier.failure_signal_of(self), None
+            exchange.end(outcome_of(AttemptEnd.NOT_UP, False))
+        for exchange in list(self._active.values()):
+            self._fail(exchange, AttemptEnd.CLOSED)
 
     def check(self, now_s: float, idle_s: float) -> None:
-        """Danger: what nobody ends holds a socket, and its client's connection."""
-        for exchange in list(self._out.values()):
-            if now_s - exchange.moved_s > STALL_S and self._stalls(exchange):
-                self._lose(exchange, End.STALLED)
-        if not self.up or self.over:
+        """Apply the timeouts: otherwise a stalled attempt would hold its socket and its client forever."""
+        for exchange in list(self._active.values()):
+            if now_s - exchange.progress_s > STALL_S and self._server_stalls(exchange):
+                self._fail(exchange, AttemptEnd.STALLED)
+        if not self.established or self.closed:
             return
         if not self.load:
-            # The server ends it, or has forgotten it, at its own time: half of that is ours.
-            if now_s - self.idle_since > min(idle_s, self.quic.idle_s * IDLE_SHARE) or not self.usable:
+            # Closed well before the server's own timeout, to avoid a request on a connection it discards.
+            if (
+                now_s - self.idle_since_s > min(idle_s, self.quic.idle_timeout_s * IDLE_TIMEOUT_FRACTION)
+                or not self.usable
+            ):
                 self.close()
-        elif now_s - self.heard_s > ALIVE_S:
-            self._guarded(lambda: self.quic.send_ping(1))
+        elif now_s - self.received_s > ALIVE_S:
+            self._call_library(lambda: self.quic.send_ping(1))
             self.flush_soon()
 
-    def _stalls(self, exchange: Exchange) -> bool:
-        """Does the server hold back the rest of a long answer, or not read the rest of a body?"""
+    def _server_stalls(self, exchange: Exchange) -> bool:
+        """Whether the server is to blame for the lack of progress of a streamed answer or body."""
         if exchange.sink is not None:
-            return not exchange.stuck
+            return not exchange.answer_paused
         upload = exchange.call.upload
-        return exchange.full and upload is not None and not upload.ended
+        return exchange.body_paused and upload is not None and not upload.ended
 
 
 class Carrier:
-    """The connections to servers that speak HTTP/3, and `plain` for all others. The node's `Carrier`."""
+    """Sends attempts over HTTP/3, or with `http1_carrier` to servers that are not reached that way."""
 
     def __init__(
         self,
-        plain: PlainCarrier,
-        speech: Speech,
+        http1_carrier: Http1Carrier,
+        availability: Http3Availability,
         settings: QuicConfiguration,
         name: str,
-        most: int,
+        max_connections: int,
         connect_timeout_ms: float,
         idle_ms: float,
-        on_sign: Callable[[str, Sign], None],
+        on_signal: Callable[[str, ConnectionSignal], None],
     ) -> None:
-        """`name`: the one in servers' certificates, empty for each server's own id; `most`: connections."""
-        self.plain, self.speech, self.on_sign = plain, speech, on_sign
+        """`name`: the name in servers' certificates, empty for each server's own id."""
+        self.http1_carrier, self.availability, self.on_signal = http1_carrier, availability, on_signal
         self.loop = asyncio.get_running_loop()
         self.count: Counter[str] = Counter()
-        self.handshake_s = HANDSHAKES * connect_timeout_ms / 1000
-        self._settings, self._name, self._most = settings, name, most
-        self._idle_s = idle_ms * IDLE_SHARE / 1000
-        self._lanes: dict[Host, set[Lane]] = {}
-        self._ahead: set[Lane] = set()  # opened before a request needed them
+        self.handshake_s = HANDSHAKE_TIMEOUT_FACTOR * connect_timeout_ms / 1000
+        self._settings, self._name, self._max_connections = settings, name, max_connections
+        self._idle_s = idle_ms * IDLE_TIMEOUT_FRACTION / 1000
+        self._connections: dict[Host, set[ServerConnection]] = {}
+        self._preconnecting: set[ServerConnection] = set()  # by `preconnect`, and not established yet
         self._errors = contained_errors_of(self.loop)
-        self._sweeping = Periodic(self.loop, self._errors, "http3_server_sweep", SWEEP_S, self._sweep)
+        self._sweep_timer = Periodic(self.loop, self._errors, "http3_server_sweep", SWEEP_S, self._sweep)
 
     @property
-    def lanes(self) -> list[Lane]:
-        return [lane for lanes in self._lanes.values() for lane in lanes]
+    def connections(self) -> list[ServerConnection]:
+        """All connections."""
+        return [connection for connections in self._connections.values() for connection in connections]
 
-    def retrust(self, settings: QuicConfiguration) -> None:
-        """Believe servers by these settings, on connections from now on."""
+    def replace_settings(self, settings: QuicConfiguration) -> None:
+        """Use these settings, with their certificate authority, for new connections."""
         self._settings = settings
 
-    # The node's
+    # The methods of `proxy.carrier.Carrier`
 
     def send(
         self,
@@ -493,114 +518,127 @@
         on_end: OnEnd,
         on_begin: OnBegin | None = None,
         on_open: Callable[[], None] | None = None,
-    ) -> Sent:
-        if not self.speech.by_http3(host[0], self.loop.time()):
-            return self.plain.send(host, call, timeout_ms, on_end, on_begin, on_open)
+    ) -> SentAttempt:
+        """Start an attempt; with `on_open` on a new connection, called once that is established."""
+        if not self.availability.uses_http3(host[0], self.loop.time()):
+            return self.http1_carrier.send(host, call, timeout_ms, on_end, on_begin, on_open)
         exchange = Exchange(call, timeout_ms, on_end, on_begin, on_open)
         if call.upload is None:
-            exchange.until_s = self.loop.time() + timeout_ms / 1000
-        choice = choose(self._lanes.get(host, ()), on_open is not None, self._may_open())
-        lane = choice.lane
-        if lane is None and choice.open:
-            lane = self._open(host)
-        if lane is None:
-            exchange.end(Outcome.NOT_SENT)  # our own lack: it says nothing about the server
-        elif lane.over:
-            exchange.sign = self.sign_of(lane)
-            exchange.end(outcome_of(End.NOT_UP, False))
+            exchange.send_deadline_s = self.loop.time() + timeout_ms / 1000
+        choice = choose_connection(self._connections.get(host, ()), on_open is not None, self._may_open())
+        connection = choice.connection
+        if connection is None and choice.open:
+            connection = self._open(host)
+        if connection is None:
+            exchange.end(Outcome.NOT_SENT)  # a local shortage, no evidence against the server
+        elif connection.closed:
+            exchange.signal = self.failure_signal_of(connection)
+            exchange.end(outcome_of(AttemptEnd.NOT_UP, False))
         else:
-            lane.take(exchange)
+            connection.submit(exchange)
         return exchange
 
-    def open_ahead(self, host: Host) -> None:
-        if not self.speech.by_http3(host[0], self.loop.time()):
-            self.plain.open_ahead(host)
-        elif len(self.lanes) < self._most // 2 and (lane := self._open(host)) is not None:
-            self._ahead.add(lane)
+    def preconnect(self, host: Host) -> None:
+        """Open one connection to a newly listed host. These use at most half of the connections."""
+        if not self.availability.uses_http3(host[0], self.loop.time()):
+            self.http1_carrier.preconnect(host)
+        elif (
+            len(self.connections) < self._max_connections // 2
+            and (connection := self._open(host)) is not None
+        ):
+            self._preconnecting.add(connection)
 
     def keep_only(self, wanted: AbstractSet[Host]) -> None:
-        self.plain.keep_only(wanted)
-        self.speech.keep_only(name for name, _ in wanted)
-        for host in [h for h in self._lanes if h not in wanted]:
-            for lane in list(self._lanes.get(host, ())):
-                lane.leave()
+        """Drain the connections to hosts that are not in `wanted`."""
+        self.http1_carrier.keep_only(wanted)
+        self.availability.keep_only(name for name, _ in wanted)
+        for host in [h for h in self._connections if h not in wanted]:
+            for connection in list(self._connections.get(host, ())):
+                connection.drain()
 
     # Connections
 
     def _may_open(self) -> bool:
-        if len(self.lanes) < self._most:
+        """Whether a connection may be opened; closes the longest idle one if needed."""
+        if len(self.connections) < self._max_connections:
             return True
-        idle = [lane for lane in self.lanes if lane.up and not lane.load]
+        idle = [
+            connection for connection in self.connections if connection.established and not connection.load
+        ]
         if not idle:
             return False
-        min(idle, key=lambda lane: lane.idle_since).close()
+        min(idle, key=lambda connection: connection.idle_since_s).close()
         return True
 
-    def _open(self, host: Host) -> Lane | None:
+    def _open(self, host: Host) -> ServerConnection | None:
         family = socket.AF_INET6 if ":" in host[1][0] else socket.AF_INET
         try:
             sock = socket.socket(family, socket.SOCK_DGRAM)
-        except OSError as error:  # no descriptor, no memory: not the server's fault
+        except OSError as error:  # no descriptor or memory: no evidence against the server
             log.error("no socket: %s", error)
-            if missing(error):
-                room_of(self.loop).make(self.loop.time())  # for the next one
+            if is_descriptor_exhaustion(error):
+                descriptor_budget_of(self.loop).reclaim(self.loop.time())  # for the next one
             return None
         try:
             sock.setblocking(False)
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BYTES)
-            # Connected, it gets datagrams of that address only, and its machine's word that nobody is there.
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
+            # A connected socket receives from that address only, and reports a closed port as an error.
             sock.connect(host[1])
         except OSError as error:
-            log.error("no way to %s: %s", host[0], error)
+            log.error("cannot connect a UDP socket to %s: %s", host[0], error)
             sock.close()
             return None
         self.count["opened"] += 1
-        lane = Lane(self, host, sock, replace(self._settings, server_name=self._name or host[0]))
-        if not lane.over:
-            self._lanes.setdefault(host, set()).add(lane)
-        return lane
-
-    def came_up(self, lane: Lane) -> None:
-        self.speech.came_up(lane.host[0])
-        self._ahead.discard(lane)
-
-    def sign_of(self, lane: Lane) -> Sign | None:
-        """What a connection that did not come up says of its server. Where HTTP/1.1 is left: nothing, its
-        UDP may be blocked on the way."""
-        return None if self.speech.fallback else lane.sign
-
-    def ended(self, lane: Lane, failed: bool) -> None:
-        """`failed`: it never came up."""
-        lanes = self._lanes.get(lane.host, set())
-        lanes.discard(lane)
-        if not lanes:
-            self._lanes.pop(lane.host, None)
+        connection = ServerConnection(
+            self, host, sock, replace(self._settings, server_name=self._name or host[0])
+        )
+        if not connection.closed:
+            self._connections.setdefault(host, set()).add(connection)
+        return connection
+
+    def on_established(self, connection: ServerConnection) -> None:
+        """Called when the handshake of a connection has completed."""
+        self.availability.record_success(connection.host[0])
+        self._preconnecting.discard(connection)
+
+    def failure_signal_of(self, connection: ServerConnection) -> ConnectionSignal | None:
+        """Return the signal of a connection that could not be established. None if HTTP/1.1 is available as a
+        fallback: UDP alone may be blocked on the path."""
+        return None if self.availability.fallback else connection.failure_signal
+
+    def remove(self, connection: ServerConnection, failed: bool) -> None:
+        """Remove a connection that has ended; `failed`: it could not be established."""
+        connections = self._connections.get(connection.host, set())
+        connections.discard(connection)
+        if not connections:
+            self._connections.pop(connection.host, None)
         if failed:
             self.count["not_up"] += 1
-            resting = self.speech.resting_s(lane.host[0], self.loop.time())
-            self.speech.failed(lane.host[0], self.loop.time())
-            if self.speech.fallback and not resting:
-                log.warning("%s does not answer by HTTP/3: HTTP/1.1 for now", lane.host[0])
-            sign = self.sign_of(lane)
-            if lane in self._ahead and sign is not None:
-                self.on_sign(lane.host[0], sign)
-        self._ahead.discard(lane)
-
-    def told(self, server: str) -> str:
-        """For operators: how a server is spoken to."""
-        if not self.speech.named(server):
+            backoff_left_s = self.availability.backoff_left_s(connection.host[0], self.loop.time())
+            self.availability.record_failure(connection.host[0], self.loop.time())
+            if self.availability.fallback and not backoff_left_s:
+                log.warning("%s does not answer by HTTP/3: HTTP/1.1 for now", connection.host[0])
+            signal = self.failure_signal_of(connection)
+            if connection in self._preconnecting and signal is not None:
+                self.on_signal(connection.host[0], signal)
+        self._preconnecting.discard(connection)
+
+    def protocol_of(self, server: str) -> str:
+        """Return the protocol in use for a server, for the operators' status."""
+        if not self.availability.is_selected(server):
             return "HTTP/1.1"
-        resting_s = self.speech.resting_s(server, self.loop.time())
-        return f"HTTP/1.1: HTTP/3 failed, again in {resting_s:.0f} s" if resting_s else "HTTP/3"
+        backoff_left_s = self.availability.backoff_left_s(server, self.loop.time())
+        return f"HTTP/1.1: HTTP/3 failed, again in {backoff_left_s:.0f} s" if backoff_left_s else "HTTP/3"
 
     def close(self) -> None:
-        self._sweeping.cancel()
-        for lane in self.lanes:
-            lane.leaving = True
-            lane.close()
+        """Close all connections."""
+        self._sweep_timer.cancel()
+        for connection in self.connections:
+            connection.draining = True
+            connection.close()
 
     def _sweep(self) -> None:
         now_s = self.loop.time()
-        for lane in self.lanes:
-            if not self._errors.run("http3_server_check", partial(lane.check, now_s, self._idle_s)):
-                self._errors.run("http3_server_check", lane.close, lane.host[0])
+        for connection in self.connections:
+            if not self._errors.run("http3_server_check", partial(connection.check, now_s, self._idle_s)):
+                self._errors.run("http3_server_check", connection.close, connection.host[0])
--- a/cloverrouter/http3/fields.py
+++ b/cloverrouter/http3/fields.py
@@ -1,25 +1,27 @@
-"""HTTP/3's field sections to a request's parts and back (RFC 9114, 4.2 and 4.3). Total: anything gives a
-value or the status of an error. What a field means is `proxy.validity`'s."""
+"""Parses and builds HTTP/3 field sections (RFC 9114, 4.2 and 4.3).
+
+Any input yields a request or the status of an error. The values of fields are validated by `proxy.validity`.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from cloverrouter.proxy.messages import MOST_BODY, Call
+from cloverrouter.proxy.messages import MAX_BODY_BYTES, Call
 from cloverrouter.proxy.validity import Head
 
 Fields = Sequence[tuple[bytes, bytes]]
-# They frame messages on HTTP/1.1 and mean nothing here: whoever passes them on lets a request hide in a body.
-FRAMING = frozenset(
+# They frame messages in HTTP/1.1 and are forbidden in HTTP/3: forwarding them would allow request smuggling.
+FRAMING_FIELDS = frozenset(
     (b"connection", b"keep-alive", b"proxy-connection", b"transfer-encoding", b"upgrade")
 )  # fmt: skip
-MOST_DIGITS = 10
+MAX_LENGTH_DIGITS = 10
 
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A request's head. `length`: of its body in bytes, where its client said."""
+    """The head of a request. `length`: of its body in bytes, if declared."""
 
     method: bytes
     target: bytes
@@ -27,28 +29,28 @@
     length: int | None
 
 
-def request_of(fields: Fields) -> Request | int:
-    """What a request's field section says; or the status of the error that it earns."""
+def parse_request(fields: Fields) -> Request | int:
+    """Parse the field section of a request; an int is the status of the error to answer."""
     pseudo: dict[bytes, bytes] = {}
     head = Head()
     for name, value in fields:
         if name[:1] == b":":
-            # Danger: behind an ordinary field, or twice, it is open which of them counts (RFC 9114, 4.3).
+            # After a regular field, or repeated, it would be ambiguous which value counts (RFC 9114, 4.3).
             if head or name in pseudo:
                 return 400
             pseudo[name] = value
-        elif name in FRAMING or (name == b"te" and value != b"trailers"):
+        elif name in FRAMING_FIELDS or (name == b"te" and value != b"trailers"):
             return 400
         elif fault := head.add(name, value):
             return fault
     method, target = pseudo.get(b":method", b""), pseudo.get(b":path", b"")
     if not method or target[:1] != b"/" or pseudo.get(b":scheme") not in (b"https", b"http"):
         return 400
-    said = head.get(b"content-length")
-    if said is not None and not (said.isdigit() and len(said) <= MOST_DIGITS):
+    length_text = head.get(b"content-length")
+    if length_text is not None and not (length_text.isdigit() and len(length_text) <= MAX_LENGTH_DIGITS):
         return 400
-    length = None if said is None else int(said)
-    if length is not None and length > MOST_BODY:
+    length = None if length_text is None else int(length_text)
+    if length is not None and length > MAX_BODY_BYTES:
         return 413
     return Request(method, target, head, length)
 
@@ -56,7 +58,7 @@
 def answer_fields(
     status: int, length: int | None, content_type: bytes = b"", retry_after: bytes = b""
 ) -> list[tuple[bytes, bytes]]:
-    """An answer's field section; `length` of its body in bytes, if it is known."""
+    """Return the field section of an answer; `length`: of its body in bytes, if known."""
     fields = [(b":status", b"%d" % status)]
     if length is not None:
         fields.append((b"content-length", b"%d" % length))
@@ -68,7 +70,7 @@
 
 
 def request_fields(call: Call, authority: str, timeout_ms: float) -> list[tuple[bytes, bytes]]:
-    """A request's field section, to a server: what HTTP/1.1 says in its head, in the same words."""
+    """Return the field section of a request to a server, with the same fields as over HTTP/1.1."""
     fields = [
         (b":method", call.method),
         (b":scheme", b"https"),
--- a/cloverrouter/http3/link.py
+++ b/cloverrouter/http3/link.py
@@ -1,6 +1,6 @@
-"""A QUIC connection and its library, whichever side of it is ours: datagrams in and out, timers, its end.
+"""The base of client and server QUIC connections: drives the QUIC library with datagrams and timers.
 
-Shell: what the events mean is told to the class that extends this.
+Subclasses handle the events of the library.
 """
 
 from __future__ import annotations
@@ -13,64 +13,66 @@
 
 from aioquic.quic import events as quic
 
-from cloverrouter.http3.wire import Looked, NetworkAddress
+from cloverrouter.http3.wire import BaseQuicConnection, NetworkAddress
 
 T = TypeVar("T")
 log = logging.getLogger(__name__)
 
 
-class Link:
-    """One QUIC connection. `peer`: its address, for the log; `count`: what happened to all of a shell's."""
+class ConnectionBase:
+    """One QUIC connection. `peer`: its address, for the log; `count`: counters of its frontend or carrier."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, transport: Looked, peer: str,
+    def __init__(self, loop: asyncio.AbstractEventLoop, transport: BaseQuicConnection, peer: str,
                  count: Counter[str]) -> None:  # fmt: skip
         self._loop, self._transport, self._peer, self._count = loop, transport, peer, count
-        self.over = False
-        self.heard_s = loop.time()
+        self.closed = False
+        self.received_s = loop.time()
         self._timer: asyncio.TimerHandle | None = None
-        self._flushing = False
+        self._flush_scheduled = False
 
-    # What a side of the connection fills in
+    # Implemented by subclasses
 
-    def _happened(self, event: quic.QuicEvent) -> None:
+    def _on_quic_event(self, event: quic.QuicEvent) -> None:
+        """Handle an event of the QUIC library."""
         raise NotImplementedError
 
     def _send(self, data: bytes, address: NetworkAddress) -> None:
+        """Hand a datagram to the socket."""
         raise NotImplementedError
 
-    def _flushed(self) -> None:
-        """What there was to send has been handed to the socket."""
+    def _on_flushed(self) -> None:
+        """Called after pending packets have been handed to the socket."""
 
-    def _settled(self) -> None:
-        """All that has come was told."""
+    def _on_settled(self) -> None:
+        """Called after the events of all received datagrams have been handled."""
 
     def _end(self) -> None:
-        """It is gone, at once and for good; may come more than once."""
+        """End the connection immediately; may be called more than once."""
         raise NotImplementedError
 
     # Datagrams, timers
 
     def receive(self, data: bytes, address: NetworkAddress) -> None:
-        """What has come; `settle` is to follow, once for all that is read in this turn of the loop."""
-        self.heard_s = self._loop.time()
-        self._run(lambda: self._transport.receive_datagram(data, address, now=self.heard_s))
+        """Process a datagram. Call `settle` once after all that are read in this turn of the event loop."""
+        self.received_s = self._loop.time()
+        self._run_and_dispatch(lambda: self._transport.receive_datagram(data, address, now=self.received_s))
 
-    def _run(self, step: Callable[[], None]) -> None:
-        self._guarded(step)
-        while not self.over and (event := self._transport.next_event()) is not None:
-            self._happened(event)
+    def _run_and_dispatch(self, step: Callable[[], None]) -> None:
+        self._call_library(step)
+        while not self.closed and (event := self._transport.next_event()) is not None:
+            self._on_quic_event(event)
 
     def settle(self) -> None:
-        """Tell what has come, and send what there is to send."""
-        self._settled()
+        """Finish processing received datagrams, and send pending packets."""
+        self._on_settled()
         self.flush()
-        # Ended by either side: what the library still waits for, late copies, is answered by a reset.
-        if self._transport.ended:
+        # Closed by either side. The library would wait for late packets; they get a stateless reset instead.
+        if self._transport.closing:
             self._end()
 
-    def _guarded(self, step: Callable[[], T]) -> T | None:
-        """Danger: whatever a peer sends, what it breaks in the library ends its connection and nothing else.
-        Only the library's own steps go through here: an error in the rules must end the process."""
+    def _call_library(self, step: Callable[[], T]) -> T | None:
+        """Run a call into the QUIC library: an exception there, whatever a peer sends, ends only its
+        connection. Used only for library calls: errors in the proxy's own logic must not be caught here."""
         try:
             return step()
         except Exception as error:
@@ -80,30 +82,31 @@
             return None
 
     def flush(self) -> None:
-        self._flushing = False
-        if self.over:
+        """Send pending packets, and set the timer of the library."""
+        self._flush_scheduled = False
+        if self.closed:
             return
         now_s = self._loop.time()
-        for data, address in self._guarded(lambda: self._transport.datagrams_to_send(now=now_s)) or ():
+        for data, address in self._call_library(lambda: self._transport.datagrams_to_send(now=now_s)) or ():
             self._send(data, address)
-        if self.over:
+        if self.closed:
             return
-        self._flushed()
+        self._on_flushed()
         if self._timer is not None:
             self._timer.cancel()
         due_s = self._transport.get_timer()
         self._timer = None if due_s is None else self._loop.call_at(due_s, self._on_timer)
 
     def flush_soon(self) -> None:
-        """Once for all that is written in this turn of the loop: more of it goes into one packet."""
-        if not self._flushing:
-            self._flushing = True
+        """Schedule one `flush` for all writes of this turn of the event loop, to fill packets better."""
+        if not self._flush_scheduled:
+            self._flush_scheduled = True
             self._loop.call_soon(self.flush)
 
     def _on_timer(self) -> None:
         now_s = self._loop.time()
         self._timer = None
-        self._run(lambda: self._transport.handle_timer(now=now_s))
+        self._run_and_dispatch(lambda: self._transport.handle_timer(now=now_s))
         self.settle()
 
     def _stop_timer(self) -> None:
--- a/cloverrouter/interface.py
+++ b/cloverrouter/interface.py
@@ -1,7 +1,7 @@
-"""What a client proxy and the balancer say to each other: settings, events, actions.
+"""Messages between a client proxy and its balancer: settings, events and actions.
 
-Times are milliseconds on one monotonic clock of the proxy's choosing; spans end in ``_ms`` too.
-Ids (requests, endpoints, zones, cells) are opaque: they are compared and given back, never read.
+Times are milliseconds on one monotonic clock that the proxy chooses; durations end in ``_ms`` too.
+Ids of requests, endpoints, zones and cells are opaque: they are compared and returned, never parsed.
 """
 
 from __future__ import annotations
@@ -12,15 +12,15 @@
 
 
 class Idempotency(Enum):
-    """Whether a request that may have run can be sent again."""
+    """Whether a request that may have run can be retried."""
 
     SAFE = "safe"  # always
-    KEYED = "keyed"  # within the group of endpoints and the time that drop its repeats
+    KEYED = "keyed"  # within the idempotency scope and window, in which servers drop duplicates
     UNSAFE = "unsafe"  # never
 
 
-class RepeatScope(Enum):
-    """Which endpoints drop the repeats of a keyed request."""
+class IdempotencyScope(Enum):
+    """Group of endpoints that deduplicate a keyed request."""
 
     ALL = "all"
     ZONE = "zone"
@@ -32,27 +32,27 @@
 
     OK = "ok"
     ERROR = "error"  # answered with an error; may have run
-    REJECTED = "rejected"  # turned away unseen
+    REJECTED = "rejected"  # rejected before it ran
     TIMEOUT = "timeout"  # may have run, may still run
     CONNECT_FAILED = "connect_failed"
-    RESET = "reset"  # connection lost under way; may have run
-    SPOILT = "spoilt"  # an answer came that is of no use; it ran
-    CANCELLED = "cancelled"  # called off by us; may have run
+    RESET = "reset"  # connection lost during the attempt; may have run
+    SPOILT = "spoilt"  # the answer was malformed or truncated; it ran
+    CANCELLED = "cancelled"  # cancelled by the proxy; may have run
     NOT_SENT = "not_sent"  # the proxy did not send it
 
 
-class Sign(Enum):
-    """What a connection to an endpoint showed, besides how an attempt ended."""
+class ConnectionSignal(Enum):
+    """A health signal from a connection to an endpoint, apart from the outcome of an attempt."""
 
-    REFUSED = "refused"  # nobody listens there: its machine says so
-    UNANSWERED = "unanswered"  # no connection came up in time
-    SILENT = "silent"  # a request had no answer in time, nor had any other meanwhile
-    HUNG_UP = "hung_up"  # all connections to it were ended from there, at one moment
-    ACCEPTED = "accepted"  # a new connection came up
+    REFUSED = "refused"  # no process listens on the port: the host answered with a TCP reset
+    CONNECT_TIMEOUT = "unanswered"  # no connection was established in time
+    UNRESPONSIVE = "silent"  # a request timed out, and no other request was answered meanwhile
+    CLOSED_BY_PEER = "hung_up"  # the server closed all its connections at the same moment
+    ACCEPTED = "accepted"  # a new connection was established
 
 
-class Belief(Enum):
-    """What the signs say of an endpoint that is listed."""
+class Liveness(Enum):
+    """Liveness estimate of a listed endpoint, derived from its health signals."""
 
     PRESENT = "present"
     SUSPECT = "suspect"
@@ -60,8 +60,8 @@
     UNKNOWN = "unknown"
 
 
-class Why(Enum):
-    """Why the module gave a request up: for people who ask, never for decisions."""
+class GiveUpReason(Enum):
+    """Reason for which the balancer gave up a request; reported to operators, not used in decisions."""
 
     NO_SERVER = "no server is listed as ready"
     NO_ROOM = "no server had room in time"
@@ -82,24 +82,24 @@
 
 
 class ListKind(Enum):
-    """What an `EndpointsListed` event carries."""
+    """Content of an `EndpointsListed` event."""
 
     DELTA = "delta"  # changed endpoints only
-    FULL = "full"  # the whole list; what is not in it is gone
-    RESTORED = "restored"  # the whole list as last known before a restart, perhaps old
+    FULL = "full"  # the complete list; endpoints that it lacks are removed
+    RESTORED = "restored"  # the complete list as last known before a restart; may be out of date
     FAILED = "failed"  # a call to discovery failed or the subscription broke; nothing listed
 
 
 class RequestClass(Value):
     name: str
-    aim_ms: float  # an answer within this earns the full worth
+    aim_ms: float  # latency objective: an answer within it earns the full worth
     deadline_ms: float
     worth: float = 1.0
     late_worth: float = 0.0  # share of the worth earned between aim and deadline
-    aim_stretch: float = 0.0  # more time on the aim, as a multiple of the request's work
+    aim_stretch: float = 0.0  # added to the aim, as a multiple of the request's work
     idempotency: Idempotency = Idempotency.UNSAFE
-    repeat_scope: RepeatScope = RepeatScope.ALL
-    repeat_window_ms: float = 0.0
+    idempotency_scope: IdempotencyScope = IdempotencyScope.ALL
+    idempotency_window_ms: float = 0.0
     streamed: bool = False
 
 
@@ -111,27 +111,31 @@
     retry_after: bool = False
     max_retry_after_ms: float = 0.0
     connect_timeout_ms: float = 250.0
-    max_open: int = 0  # requests that the clients can have open here; more don't reach it. 0: not known
+    max_open: int = 0  # requests that clients can have open at this proxy at a time; 0: not known
 
 
 class Safety(Value):
-    """The figures of the rules on drains, discovery and cold endpoints."""
+    """Parameters of the rules on drains, discovery and cold endpoints."""
 
-    cold_share: float = 1.0  # an endpoint starts with at least this share of its capacity
-    cold_ms: float = 0.0  # and is warm at the latest after this
-    push_multiple: float = 3.0  # sent more than this multiple of its capacity
-    push_window_ms: float = 1000.0  # for this long, a cold endpoint falls over
-    must_ask_ms: float = 10_000.0  # unsubscribed proxies must ask discovery this often
-    drain_grace_ms: float = 1000.0  # so long after it was told, an endpoint that drains gets nothing new
+    cold_share: float = 1.0  # share of its capacity with which an endpoint starts, at least
+    cold_ms: float = 0.0  # time after which it is warm, at the latest
+    overload_multiple: float = (
+        3.0  # a cold endpoint fails if it is sent more than this multiple of its capacity
+    )
+    overload_window_ms: float = 1000.0  # during this time
+    discovery_poll_ms: float = 10_000.0  # maximum interval between calls to discovery without a subscription
+    drain_grace_ms: float = (
+        1000.0  # from this time after the notice on, a draining endpoint gets no new attempts
+    )
 
 
 class Prices(Value):
-    """Points taken off the result, as the site counts them."""
+    """Points that the site subtracts from the result."""
 
-    cross_zone: float = 0.0  # an attempt that crosses zones, per first try
-    probe: float = 0.0  # a probe, per first try
-    waste: float = 0.0  # work that served no answer, as a share of work offered
-    late_fail: float = 0.0  # worth that ended unserved after its aim
+    cross_zone: float = 0.0  # per attempt that crosses zones, relative to first attempts
+    probe: float = 0.0  # per probe, relative to first attempts
+    waste: float = 0.0  # work that led to no answer, as a share of the work offered
+    late_fail: float = 0.0  # worth of requests that ended unserved after their aim
 
 
 class Tenant(Value):
@@ -142,16 +146,16 @@
 class Settings(Value):
     classes: tuple[RequestClass, ...]
     zone: str = ""
-    proxies: int = 1  # client proxies that send to the same endpoints, this one included
-    number: int | None = None  # this proxy's, from 0; None: not known, and drawn
-    subscribe: bool = False  # discovery tells of changes only when asked
-    report_fields: tuple[str, ...] = ()  # what a load report holds, in order
+    proxies: int = 1  # number of client proxies that send to the same endpoints, including this one
+    number: int | None = None  # index of this proxy, from 0; None: not known, drawn at random
+    subscribe: bool = False  # discovery reports changes only on request
+    report_fields: tuple[str, ...] = ()  # fields of a load report, in order
     worth_by_work: bool = False  # worth counts per unit of work, not per request
     limits: Limits = Limits()
     safety: Safety = Safety()
     prices: Prices = Prices()
     tenants: tuple[Tenant, ...] = ()
-    over_quota_worth: float = 1.0  # share of its worth that a request over its tenant's quota keeps
+    over_quota_worth: float = 1.0  # share of its worth that a request above its tenant's quota keeps
 
     def __post_init__(self) -> None:
         for cls in self.classes:
@@ -167,22 +171,22 @@
             raise ValueError("limits.max_attempts must be at least 1")
         if not 0 < self.safety.cold_share <= 1:
             raise ValueError("safety.cold_share must be above 0 and at most 1")
-        if min(self.safety.push_multiple, self.safety.push_window_ms) <= 0:
-            raise ValueError("safety.push_multiple and safety.push_window_ms must be positive")
+        if min(self.safety.overload_multiple, self.safety.overload_window_ms) <= 0:
+            raise ValueError("safety.overload_multiple and safety.overload_window_ms must be positive")
 
 
 class ListedEndpoint(Value):
-    """One entry of discovery's list."""
+    """One entry of the list that discovery returns."""
 
     name: str
     zone: str = ""
     cell: int = 0
     weight: float = 1.0
     state: EndpointState = EndpointState.READY
-    started_ms: float | None = None  # None: a long time ago
+    started_ms: float | None = None  # None: long ago
 
 
-# Events: what the proxy tells.
+# Events: sent by the proxy to the balancer.
 
 
 class EndpointsListed(Value):
@@ -193,35 +197,35 @@
 class RequestArrived(Value):
     request_id: int
     class_name: str
-    deadline_ms: float | None = None  # on the clock, not a span; None: the class's own
+    deadline_ms: float | None = None  # absolute time; None: the deadline of the class applies
     tenant: str | None = None
     key: str | None = None
     work_hint_ms: float | None = None
-    repeat: bool = False  # marked by its client as a repeat
-    former: bool = False  # its class is meant as it was before the last `SettingsChanged`
-    once: bool = False  # its body is not kept: there can be no second attempt
-    whole: bool = True  # its last byte has come; if not, its time counts from `RequestWhole` on
-    waited_ms: float = 0.0  # since its last byte came, where the proxy itself stood still
+    client_retry: bool = False  # marked by its client as a retry
+    uses_previous_settings: bool = False  # its class is the one before the last `SettingsChanged`
+    single_attempt: bool = False  # its body is not buffered, so it cannot be retried
+    complete: bool = True  # its last byte was received; if not, its time runs from `RequestCompleted` on
+    waited_ms: float = 0.0  # time since its last byte, where the proxy process was paused
 
 
 class SettingsChanged(Value):
-    """These settings hold for requests that come from here on; those that are open keep their class.
+    """Replaces the settings for requests that arrive from now on; open requests keep their class.
 
-    What places the proxy among others stays as at the start: zone, proxies, number, subscribe, report fields.
+    The fields zone, proxies, number, subscribe and report_fields keep their values from the start.
     """
 
     settings: Settings
 
 
-class RequestWhole(Value):
-    """The last byte has come of a request that arrived without it."""
+class RequestCompleted(Value):
+    """The last byte of a request that arrived incomplete was received."""
 
     request_id: int
     deadline_ms: float | None = None  # as in `RequestArrived`
 
 
 class StreamStarted(Value):
-    """The answer has begun; from here the attempt is the client's."""
+    """The answer has begun: from now on the attempt is bound to the client and cannot be replaced."""
 
     request_id: int
     attempt: int
@@ -233,25 +237,27 @@
     attempt: int
     outcome: Outcome
     latency_ms: float
-    answered: bool = False  # nothing more is owed to the client
+    answered: bool = False  # the client has its answer
     report: tuple[float, ...] | None = None
-    sign: Sign | None = None  # of a connection that did not come up, where that is known
-    unsure: bool = False  # the proxy stood still meanwhile: the latency is not the endpoint's
+    signal: ConnectionSignal | None = None  # set if the connection failed and the cause is known
+    latency_unreliable: bool = (
+        False  # the proxy was paused meanwhile: the latency says nothing about the endpoint
+    )
 
 
-class Stood(Value):
-    """The proxy stood still, stopped or short of its processor: what seems overdue is no server's fault."""
+class ProcessPaused(Value):
+    """The proxy process was paused or starved of CPU time; overdue answers are not the servers' fault."""
 
 
-class SignSeen(Value):
-    """A connection to an endpoint showed something, whatever becomes of the attempts."""
+class ConnectionSignalObserved(Value):
+    """A connection to an endpoint gave a health signal, independent of the attempts on it."""
 
     endpoint: str
-    sign: Sign
+    signal: ConnectionSignal
 
 
-class RequestGone(Value):
-    """The client left; nothing more is owed."""
+class ClientDisconnected(Value):
+    """The client disconnected; it needs no answer any more."""
 
     request_id: int
 
@@ -270,46 +276,46 @@
 Event = (
     EndpointsListed
     | RequestArrived
-    | RequestWhole
+    | RequestCompleted
     | StreamStarted
     | AttemptEnded
-    | Stood
-    | SignSeen
-    | RequestGone
+    | ProcessPaused
+    | ConnectionSignalObserved
+    | ClientDisconnected
     | TimerFired
     | ProbeEnded
     | SettingsChanged
 )
 
 
-# Actions: what the balancer answers.
+# Actions: returned by the balancer to the proxy.
 
 
-class Send(Value, aside=("begin_within_ms", "fresh")):
-    """Start the next attempt of a request; attempts count from 0 in the order of their sends."""
+class Send(Value, uncompared=("begin_within_ms", "new_connection")):
+    """Start the next attempt of a request; attempts are numbered from 0 in the order of their sends."""
 
     request_id: int
     endpoint: str
     timeout_ms: float
-    # Not to go out later than this, however long its connection takes to come up.
+    # The attempt must start within this time, which includes establishing its connection.
     begin_within_ms: float = float("inf")
-    # On a connection of its own: it tries whether the endpoint is there, and a connection kept may be dead.
-    fresh: bool = False
+    # Use a new connection: the attempt tests whether the endpoint is alive; a pooled connection may be dead.
+    new_connection: bool = False
 
 
-class Refuse(Value, aside=("why",)):
-    """Final answer: rejected, and harmless to try again."""
+class Refuse(Value, uncompared=("reason",)):
+    """Final answer: rejected, nothing ran, and the client may safely retry."""
 
     request_id: int
     retry_after_ms: float = 0.0
-    why: Why | None = None
+    reason: GiveUpReason | None = None
 
 
-class Fail(Value, aside=("why",)):
-    """Final answer: failed; whether it ran is not said."""
+class Fail(Value, uncompared=("reason",)):
+    """Final answer: failed; the request may or may not have run."""
 
     request_id: int
-    why: Why | None = None
+    reason: GiveUpReason | None = None
 
 
 class Cancel(Value):
@@ -327,7 +333,7 @@
 
 
 class Subscribe(Value):
-    """Ask discovery for the changes missed, and for all that follow."""
+    """Ask discovery for the changes missed and for all that follow."""
 
 
 class Log(Value):
@@ -337,44 +343,44 @@
 Action = Send | Refuse | Fail | Cancel | SetTimer | Probe | Subscribe | Log
 
 
-# What the balancer believes, for people who ask. Reading it changes nothing.
+# The state of the balancer, for operators. Reading it changes nothing.
 
 
 class EndpointView(Value):
-    """One endpoint as the module sees it at one moment. Spans are in ms, `warmth` from 0 to 1."""
+    """State of one endpoint at one moment. Durations are in ms, `warmth` is from 0 to 1."""
 
     name: str
     zone: str
     cell: int
     state: EndpointState
-    in_flight: int  # attempts of this proxy that are out there
-    limit: float  # as many it may hold
+    in_flight: int  # attempts of this proxy in flight
+    limit: float  # maximum number of attempts in flight
     payoff: float
-    warmth: float  # share of its full capacity that it surely has by now
-    paused_ms: float  # until it may be sent work again; 0: not paused
-    silent: bool  # owes answers for far longer than usual
-    failures: int  # in a row
+    warmth: float  # lower bound of its present share of its full capacity
+    paused_ms: float  # time until it may be sent work again; 0: not paused
+    unresponsive: bool  # its answers are overdue by far more than usual
+    failures: int  # consecutive
     latency_ms: float  # smoothed; 0: not known
-    belief: Belief = Belief.UNKNOWN  # is it there at all?
-    evidence: str = ""  # why that is believed
-    doubted_ms: float = 0.0  # for so long it is left out, but for trials
+    liveness: Liveness = Liveness.UNKNOWN  # whether its process is alive
+    liveness_reason: str = ""  # signals behind the estimate
+    suspected_ms: float = 0.0  # time since the first signal against it; 0: not suspected
 
     @property
-    def doubted(self) -> bool:
-        return self.belief in (Belief.SUSPECT, Belief.ABSENT)
+    def suspected(self) -> bool:
+        return self.liveness in (Liveness.SUSPECT, Liveness.ABSENT)
 
     @property
     def healthy(self) -> bool:
-        """Can it take work, as far as the module knows?"""
-        sound = self.paused_ms <= 0 and not self.silent and not self.doubted
+        """Whether it can accept work, as far as the balancer knows."""
+        sound = self.paused_ms <= 0 and not self.unresponsive and not self.suspected
         return self.state is EndpointState.READY and sound
 
 
 class BalancerView(Value):
     endpoints: tuple[EndpointView, ...]
-    requests: int  # known: waiting, out, or answered with an attempt still out
-    held: int  # waiting for a server with room
+    requests: int  # queued, in flight, or answered with an attempt still in flight
+    queued: int  # waiting for a server with a free slot
     retry_tokens: float
     discovery_lost: bool
-    told_s: float = 0.0  # since discovery last answered
-    releasing: bool = False  # the fleet is being replaced
+    discovery_age_s: float = 0.0  # time since the last answer from discovery
+    rollout_in_progress: bool = False  # servers are being replaced
--- a/cloverrouter/lab/__init__.py
+++ b/cloverrouter/lab/__init__.py
@@ -1,5 +1,4 @@
-"""The lab: an emulator of record servers, discovery, network and offices, and experiments on it.
+"""The lab: an emulator of record servers, discovery, the network and client offices, and experiments on it.
 
-It stands outside of what it examines: it may import the core and every direction, and nothing that `run`
-starts imports it.
+The lab may import the core and every direction. Nothing that `run` starts imports the lab.
 """
--- a/cloverrouter/lab/certificates.py
+++ b/cloverrouter/lab/certificates.py
@@ -1,4 +1,4 @@
-"""Certificates for tests and demos: an authority of one's own, and servers' certificates signed by it."""
+"""Certificates for tests and demos: a private certificate authority, and server certificates signed by it."""
 
 from __future__ import annotations
 
@@ -32,23 +32,26 @@
 
 
 class Authority:
-    """Signs; its own certificate stands in `file`."""
+    """A certificate authority; `file` is the path of its own certificate."""
 
     def __init__(self, folder: Path, name: str = "an authority") -> None:
         self._folder, self._name = folder, name
         self._key = ec.generate_private_key(ec.SECP256R1())
-        own = self._key.public_key()
+        public_key = self._key.public_key()
         certificate = (
             _builder(name, name, self._key)
             .add_extension(x509.BasicConstraints(ca=True, path_length=None), critical=True)
-            .add_extension(x509.SubjectKeyIdentifier.from_public_key(own), critical=False)
+            .add_extension(x509.SubjectKeyIdentifier.from_public_key(public_key), critical=False)
             .sign(self._key, hashes.SHA256())
         )
         self.file = folder / f"{name}.pem"
         self.file.write_bytes(certificate.public_bytes(serialization.Encoding.PEM))
 
     def issue(self, name: str, file: str) -> tuple[str, str]:
-        """The files of a certificate for the host `name`, and of its key; those of that name are replaced."""
+        """Write a certificate for the host `name`, and its key; return the two paths.
+
+        Existing files FILE.crt and FILE.key are replaced.
+        """
         key = ec.generate_private_key(ec.SECP256R1())
         certificate = (
             _builder(name, self._name, key)
--- a/cloverrouter/lab/engine.py
+++ b/cloverrouter/lab/engine.py
@@ -1,7 +1,7 @@
-"""Simulated time: a loop of events, the same to the byte from one run to the next.
+"""Simulated time: a deterministic event loop, byte-identical from one run to the next.
 
-Two events at the same instant happen in the order in which they were asked for: the heap is ordered by time
-and a running number, and never compares what is called.
+Events at the same instant are executed in the order in which they were scheduled: the heap is ordered by time
+and a sequence number, and never compares callbacks.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class Timer:
-    """What `call_later` gives back."""
+    """Handle of a scheduled call, returned by `call_later`."""
 
     __slots__ = ("cancelled",)
 
@@ -24,12 +24,12 @@
 
 
 class Engine:
-    """A `cloverrouter.clock.Loop` in simulated time, in seconds from 0."""
+    """A `cloverrouter.clock.Loop` in simulated time, which is in seconds from 0."""
 
     def __init__(self) -> None:
         self.now = 0.0
-        self.events = 0  # that have happened
-        self._number = 0
+        self.events = 0  # number of events executed
+        self._sequence = 0
         self._heap: list[tuple[float, int, Timer | None, Callable[..., object], tuple[Any, ...]]] = []
 
     def time(self) -> float:
@@ -37,34 +37,34 @@
 
     def call_later(self, delay: float, callback: Callable[..., object], *args: Any) -> Timer:
         timer = Timer()
-        self._number += 1
-        heapq.heappush(self._heap, (self.now + max(0.0, delay), self._number, timer, callback, args))
+        self._sequence += 1
+        heapq.heappush(self._heap, (self.now + max(0.0, delay), self._sequence, timer, callback, args))
         return timer
 
     def post(self, delay: float, callback: Callable[..., object], *args: Any) -> None:
-        """`call_later` for what is never called off."""
-        self._number += 1
-        heapq.heappush(self._heap, (self.now + max(0.0, delay), self._number, None, callback, args))
+        """Like `call_later`, for calls that are never cancelled."""
+        self._sequence += 1
+        heapq.heappush(self._heap, (self.now + max(0.0, delay), self._sequence, None, callback, args))
 
     def step(self, until: float) -> bool:
-        """Let the next thing happen, if it does before `until`."""
+        """Execute the next event if it is due before `until`; return whether there was one."""
         while self._heap and self._heap[0][0] < until:
-            at, _, timer, callback, args = heapq.heappop(self._heap)
+            due, _, timer, callback, args = heapq.heappop(self._heap)
             if timer is None or not timer.cancelled:
-                self.now = at
+                self.now = due
                 self.events += 1
                 callback(*args)
                 return True
         return False
 
     def run(self, until: float) -> None:
-        """Let time pass up to `until`, or until nothing is left to happen."""
+        """Execute all events that are due up to `until`, and advance the time to it."""
         heap, pop = self._heap, heapq.heappop
         while heap and heap[0][0] <= until:
-            at, _, timer, callback, args = pop(heap)
+            due, _, timer, callback, args = pop(heap)
             if timer is not None and timer.cancelled:
                 continue
-            self.now = at
+            self.now = due
             self.events += 1
             callback(*args)
         self.now = max(self.now, until)
--- a/cloverrouter/lab/lines.py
+++ b/cloverrouter/lab/lines.py
@@ -1,4 +1,4 @@
-"""The lab's own processes take lines of JSON from standard input, and give some."""
+"""Messages of the lab's own processes: lines of JSON on standard input and output."""
 
 from __future__ import annotations
 
@@ -8,18 +8,19 @@
 from collections.abc import Callable
 from typing import Any
 
-MOST_BYTES = 64 * 1024 * 1024  # of a line
+MAX_LINE_BYTES = 64 * 1024 * 1024
 
 
-async def commands(take: Callable[[dict[str, Any]], None]) -> None:
-    """The lines of standard input, until it ends."""
+async def read_commands(handle: Callable[[dict[str, Any]], None]) -> None:
+    """Call `handle` with each message of standard input, until its end."""
     loop = asyncio.get_running_loop()
-    reader = asyncio.StreamReader(limit=MOST_BYTES)
+    reader = asyncio.StreamReader(limit=MAX_LINE_BYTES)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     while line := await reader.readline():
-        take(json.loads(line))
+        handle(json.loads(line))
 
 
-def say(told: dict[str, Any]) -> None:
-    sys.stdout.write(json.dumps(told) + "\n")
+def write_message(message: dict[str, Any]) -> None:
+    """Write a message to standard output."""
+    sys.stdout.write(json.dumps(message) + "\n")
     sys.stdout.flush()
--- a/cloverrouter/lab/office.py
+++ b/cloverrouter/lab/office.py
@@ -1,7 +1,7 @@
-"""What an office does: it asks at moments that do not wait for answers, gives tries up, leaves, comes back.
+"""Clients of an office: open-loop arrivals, attempt timeouts, abandoned requests and retries.
 
-Rules without I/O, for whichever kind of time. Each proxy of an office has clients, and draws, of its own: the
-copies of an application share nothing.
+Performs no I/O and runs on simulated or real time. Each proxy of an office has its own clients with their own
+random draws, because the copies of an application share nothing.
 """
 
 from __future__ import annotations
@@ -17,15 +17,14 @@
 from cloverrouter.lab.draws import Draws
 from cloverrouter.lab.scenario import Class, Office
 
-Got = Literal["served", "refused", "failed", "left", "unsent"]
+ClientOutcome = Literal["served", "refused", "failed", "left", "unsent"]
 
 
 @dataclass(slots=True, eq=False)
-class Ask:
-    """One try of a client. `first`: the number of its request's first try, which repeats share.
+class ClientAttempt:
+    """One attempt of a client. `first` is the number of the request's first attempt; its retries share it.
 
-    `meant_s` is the moment at which the client meant to ask: its time counts from there, whatever kept
-    the try from going out then.
+    `intended_s` is when the client intended to send. Latency counts from there, even if sending was delayed.
     """
 
     number: int
@@ -33,93 +32,96 @@
     proxy: int
     kind: Class
     work_ms: float
-    meant_s: float
+    intended_s: float
     first_s: float
-    patience_s: float  # from when it is sent
+    timeout_s: float  # counted from the send
     attempt: int = 0
-    leaves_s: float = inf  # after so long it is left, whatever comes
+    abandons_after_s: float = inf  # the client leaves then, before its timeout
     sent_s: float = -1.0
-    about: int = 0  # the object it is about, from 1; 0: none
-    over: bool = False
+    object_number: int = 0  # which object it concerns, from 1; 0: none
+    finished: bool = False
     timer: Handle | None = None
 
 
 class Port(Protocol):
-    """The way to a proxy."""
+    """The transport to a proxy."""
 
-    def ask(self, ask: Ask) -> bool:
-        """Send it; False if there is no way to (no connection left, the proxy is down)."""
+    def ask(self, ask: ClientAttempt) -> bool:
+        """Send it; False if that is impossible (no free connection, the proxy is down)."""
 
-    def left(self, ask: Ask) -> None:
-        """The client waits no longer."""
+    def left(self, ask: ClientAttempt) -> None:
+        """The client stops waiting for the answer."""
 
 
 class Ledger(Protocol):
-    """Who keeps account of what clients got."""
+    """Records the attempts of clients and their outcomes."""
 
-    def asked(self, ask: Ask) -> None: ...
+    def asked(self, ask: ClientAttempt) -> None: ...
 
-    def got(self, ask: Ask, got: Got, latency_s: float) -> None: ...
+    def got(self, ask: ClientAttempt, got: ClientOutcome, latency_s: float) -> None: ...
 
 
 class Mix:
-    """Which class the next request has. `heavy`: by class, the share that costs more, and the factor."""
+    """Chooses each request's class. `heavy`: by class, the share of costlier requests and their factor."""
 
     def __init__(self, classes: Iterable[Class]) -> None:
         self.classes = list(classes)
-        self._upto = list(accumulate(kind.share for kind in self.classes))
+        self._cumulative_shares = list(accumulate(kind.share for kind in self.classes))
         self.heavy: dict[str, tuple[float, float]] = {}
 
     def draw(self, draws: Draws) -> tuple[Class, float]:
-        """A class, and the work of one request of it."""
-        at = bisect_right(self._upto, draws.uniform() * self._upto[-1])
-        kind = self.classes[min(at, len(self.classes) - 1)]
+        """Draw a class, and the work of one request of it."""
+        index = bisect_right(self._cumulative_shares, draws.uniform() * self._cumulative_shares[-1])
+        kind = self.classes[min(index, len(self.classes) - 1)]
         work_ms = draws.lognormal(kind.work_ms, kind.spread)
-        chance = draws.uniform()  # drawn always: a fault must not shift the numbers that follow
+        chance = draws.uniform()  # always drawn, so that a fault does not shift later draws
         share, factor = self.heavy.get(kind.name, (0.0, 1.0))
         return kind, work_ms * factor if chance < share else work_ms
 
 
 class Numbers:
-    """Whole numbers, each once."""
+    """Consecutive request numbers, starting at 1."""
 
     def __init__(self) -> None:
         self.last = 0
 
     def next(self) -> int:
+        """The next number."""
         self.last += 1
         return self.last
 
 
 class Level:
-    """What all offices' rates are multiplied by, as faults have it."""
+    """The factor on all offices' request rates, set by load faults."""
 
     def __init__(self) -> None:
         self.factor = 1.0
-        self.swings: list[tuple[float, float, float]] = []  # since, size, period
+        self.swings: list[tuple[float, float, float]] = []  # start, amplitude factor, period
 
     def at(self, now_s: float) -> float:
+        """The factor at a time."""
         factor = self.factor
         for since_s, size, period_s in self.swings:
             factor *= max(0.0, 1 + (size - 1) * sin(2 * pi * (now_s - since_s) / period_s))
         return factor
 
     @property
-    def most(self) -> float:
-        most = self.factor
+    def peak(self) -> float:
+        """An upper bound of the factor."""
+        maximum_factor = self.factor
         for _, size, _ in self.swings:
-            most *= 1 + abs(size - 1)
-        return most
+            maximum_factor *= 1 + abs(size - 1)
+        return maximum_factor
 
 
-def on_curve(curve: tuple[tuple[float, float], ...], at_s: float) -> float:
-    """The factor of a curve of straight lines; level before its first point and behind its last."""
+def interpolate(curve: tuple[tuple[float, float], ...], at_s: float) -> float:
+    """The value of a piecewise linear curve; constant before its first point and after its last."""
     if not curve:
         return 1.0
-    after = bisect_right([point[0] for point in curve], at_s)
-    if after == 0 or after == len(curve):
-        return curve[min(after, len(curve) - 1)][1]
-    (x0, y0), (x1, y1) = curve[after - 1], curve[after]
+    next_index = bisect_right([point[0] for point in curve], at_s)
+    if next_index == 0 or next_index == len(curve):
+        return curve[min(next_index, len(curve) - 1)][1]
+    (x0, y0), (x1, y1) = curve[next_index - 1], curve[next_index]
     return y0 + (y1 - y0) * (at_s - x0) / (x1 - x0)
 
 
@@ -129,7 +131,7 @@
     def __init__(
         self,
         loop: Loop,
-        kind: Office,
+        office: Office,
         proxy: int,
         rate: float,
         mix: Mix,
@@ -138,136 +140,156 @@
         numbers: Numbers,
         port: Port,
         ledger: Ledger,
-        until_s: float,
+        duration_s: float,
     ) -> None:
-        self._loop, self._kind, self._proxy, self._rate = loop, kind, proxy, rate
+        self._loop, self._office, self._proxy, self._rate = loop, office, proxy, rate
         self._mix, self._level, self._numbers = mix, level, numbers
-        # What a client does about its answers has draws of its own: were they the arrivals', two variants
-        # would meet other requests from the first retry on.
-        self._draws, self._moods = draws
-        self._port, self._ledger, self._until_s = port, ledger, until_s
-        self._peak = max((factor for _, factor in kind.curve), default=1.0)
-        self._burst, self._burst_ends_s = False, 0.0
-        bursts, calms = kind.burst_s * kind.burst_factor, kind.calm_s
-        self._calm_rate = (kind.burst_s + kind.calm_s) / (bursts + calms)  # `rate` stays the mean
-        self._begun_s = 0.0
+        # Reactions to answers have their own draws. With shared draws, two variants of a run would receive
+        # different requests from the first retry on.
+        self._arrival_draws, self._reaction_draws = draws
+        self._port, self._ledger, self._duration_s = port, ledger, duration_s
+        self._peak_factor = max((factor for _, factor in office.curve), default=1.0)
+        self._in_burst, self._burst_ends_s = False, 0.0
+        burst_weight, calm_weight = office.burst_s * office.burst_factor, office.calm_s
+        # Keeps `rate` the mean over bursts and calm periods.
+        self._calm_rate = (office.burst_s + office.calm_s) / (burst_weight + calm_weight)
+        self._started_s = 0.0
 
     def start(self) -> None:
-        self._begun_s = self._loop.time()
-        if self._kind.arrivals == "recorded":
-            for at_s in self._kind.times:
-                if at_s < self._until_s:
-                    self._loop.call_later(at_s, self._arrive, self._begun_s + at_s)
+        """Schedule the arrivals."""
+        self._started_s = self._loop.time()
+        if self._office.arrivals == "recorded":
+            for at_s in self._office.times:
+                if at_s < self._duration_s:
+                    self._loop.call_later(at_s, self._send_request, self._started_s + at_s)
         elif self._rate > 0:
-            self._await(self._begun_s)
+            self._schedule_arrival(self._started_s)
 
-    def _await(self, from_s: float) -> None:
-        """Reckon the next arrival after `from_s`: by thinning of the highest rate that there may be."""
-        kind, now_s, end_s = self._kind, from_s, self._begun_s + self._until_s
+    def _schedule_arrival(self, from_s: float) -> None:
+        """Schedule the next arrival after `from_s`, by thinning a Poisson process of the maximum rate."""
+        office, now_s, end_s = self._office, from_s, self._started_s + self._duration_s
         while True:
-            most = self._rate * self._peak * self._level.most
-            if kind.arrivals == "bursts":
-                most *= self._calm_rate * max(1.0, kind.burst_factor)
-            if most <= 0:
+            maximum_rate = self._rate * self._peak_factor * self._level.peak
+            if office.arrivals == "bursts":
+                maximum_rate *= self._calm_rate * max(1.0, office.burst_factor)
+            if maximum_rate <= 0:
                 now_s += 0.1
                 if now_s >= end_s:
                     return
                 continue
-            now_s += 1 / most if kind.arrivals == "even" else self._draws.wait(most)
+            now_s += 1 / maximum_rate if office.arrivals == "even" else self._arrival_draws.wait(maximum_rate)
             if now_s >= end_s:
                 return
-            keep = self._rate_at(now_s) / most
-            if keep >= 1 or self._draws.uniform() < keep:
+            acceptance = self._rate_at(now_s) / maximum_rate
+            if acceptance >= 1 or self._arrival_draws.uniform() < acceptance:
                 break
-        self._loop.call_later(now_s - self._loop.time(), self._arrived, now_s)
+        self._loop.call_later(now_s - self._loop.time(), self._on_arrival, now_s)
 
     def _rate_at(self, now_s: float) -> float:
-        kind = self._kind
-        rate = self._rate * on_curve(kind.curve, now_s - self._begun_s) * self._level.at(now_s)
-        if kind.arrivals != "bursts":
+        office = self._office
+        rate = self._rate * interpolate(office.curve, now_s - self._started_s) * self._level.at(now_s)
+        if office.arrivals != "bursts":
             return rate
         while now_s >= self._burst_ends_s:
-            self._burst = not self._burst if self._burst_ends_s else self._draws.uniform() < 0.1
-            mean_s = kind.burst_s if self._burst else kind.calm_s
-            self._burst_ends_s = max(self._burst_ends_s, self._begun_s) + self._draws.wait(1 / mean_s)
-        return rate * self._calm_rate * (kind.burst_factor if self._burst else 1.0)
-
-    def _arrived(self, meant_s: float) -> None:
-        self._arrive(meant_s)
-        self._await(meant_s)
-
-    def _arrive(self, meant_s: float) -> None:
-        kind, work_ms = self._mix.draw(self._draws)
+            self._in_burst = not self._in_burst if self._burst_ends_s else self._arrival_draws.uniform() < 0.1
+            mean_s = office.burst_s if self._in_burst else office.calm_s
+            self._burst_ends_s = max(self._burst_ends_s, self._started_s) + self._arrival_draws.wait(
+                1 / mean_s
+            )
+        return rate * self._calm_rate * (office.burst_factor if self._in_burst else 1.0)
+
+    def _on_arrival(self, intended_s: float) -> None:
+        self._send_request(intended_s)
+        self._schedule_arrival(intended_s)
+
+    def _send_request(self, intended_s: float) -> None:
+        kind, work_ms = self._mix.draw(self._arrival_draws)
         number = self._numbers.next()
-        about = 1 + int(self._draws.uniform() * kind.objects) if kind.objects else 0
-        self._try(number, number, kind, work_ms, meant_s, meant_s, 0, about)
+        object_number = 1 + int(self._arrival_draws.uniform() * kind.objects) if kind.objects else 0
+        self._send_attempt(number, number, kind, work_ms, intended_s, intended_s, 0, object_number)
 
-    def _try(
+    def _send_attempt(
         self,
         number: int,
-        first: int,
+        first_number: int,
         kind: Class,
         work_ms: float,
-        meant_s: float,
+        intended_s: float,
         first_s: float,
         attempt: int,
-        about: int,
+        object_number: int,
     ) -> None:
-        patience_s = kind.deadline_ms / 1000 * self._kind.try_share
-        ask = Ask(number, first, self._proxy, kind, work_ms, meant_s, first_s, patience_s, attempt)
-        ask.about = about
-        if self._kind.leave_share and self._moods.uniform() < self._kind.leave_share:
-            ask.leaves_s = patience_s * self._moods.uniform()
-        self._ledger.asked(ask)
-        ask.sent_s = self._loop.time()
-        if not self._port.ask(ask):
-            self.answered(ask, "unsent", None)
+        timeout_s = kind.deadline_ms / 1000 * self._office.try_share
+        client_attempt = ClientAttempt(
+            number, first_number, self._proxy, kind, work_ms, intended_s, first_s, timeout_s, attempt
+        )
+        client_attempt.object_number = object_number
+        if self._office.leave_share and self._reaction_draws.uniform() < self._office.leave_share:
+            client_attempt.abandons_after_s = timeout_s * self._reaction_draws.uniform()
+        self._ledger.asked(client_attempt)
+        client_attempt.sent_s = self._loop.time()
+        if not self._port.ask(client_attempt):
+            self.answered(client_attempt, "unsent", None)
             return
-        wait_s = min(ask.leaves_s, patience_s)
-        ask.timer = self._loop.call_later(wait_s, self._patience_ends, ask)
+        wait_s = min(client_attempt.abandons_after_s, timeout_s)
+        client_attempt.timer = self._loop.call_later(wait_s, self._on_timeout, client_attempt)
 
-    def _patience_ends(self, ask: Ask) -> None:
-        if not ask.over:
-            self._port.left(ask)
-            self.answered(ask, "left", None)
+    def _on_timeout(self, client_attempt: ClientAttempt) -> None:
+        if not client_attempt.finished:
+            self._port.left(client_attempt)
+            self.answered(client_attempt, "left", None)
 
-    def answered(self, ask: Ask, got: Got, retry_after_s: float | None) -> None:
-        """What a try came to. Refused, failed and given up, it may be tried again, with a new number."""
-        if ask.over:
+    def answered(
+        self, client_attempt: ClientAttempt, outcome: ClientOutcome, retry_after_s: float | None
+    ) -> None:
+        """Record the outcome of an attempt. If it was not served, it may be retried under a new number."""
+        if client_attempt.finished:
             return
-        ask.over = True
-        if ask.timer is not None:
-            ask.timer.cancel()
+        client_attempt.finished = True
+        if client_attempt.timer is not None:
+            client_attempt.timer.cancel()
         now_s = self._loop.time()
-        self._ledger.got(ask, got, now_s - ask.meant_s)
-        left_early = got == "left" and ask.leaves_s < ask.patience_s
-        if got == "served" or left_early or ask.attempt >= self._kind.retries:
+        self._ledger.got(client_attempt, outcome, now_s - client_attempt.intended_s)
+        abandoned = outcome == "left" and client_attempt.abandons_after_s < client_attempt.timeout_s
+        if outcome == "served" or abandoned or client_attempt.attempt >= self._office.retries:
             return
-        # Danger: what failed may have run; asked again under a new number, its effect would come twice.
-        if got not in ("refused", "unsent") and not self._kind.after_failures:
+        # A failed attempt may have run: a retry under a new number could repeat its effect.
+        if outcome not in ("refused", "unsent") and not self._office.after_failures:
             return
-        wait_s = self._kind.backoff_ms / 1000 * self._moods.between(0.5, 1.5)
-        if retry_after_s and self._moods.uniform() < self._kind.honour:
+        wait_s = self._office.backoff_ms / 1000 * self._reaction_draws.between(0.5, 1.5)
+        if retry_after_s and self._reaction_draws.uniform() < self._office.honour:
             wait_s = max(wait_s, retry_after_s)
-        self._loop.call_later(wait_s, self._again, ask, now_s + wait_s)
+        self._loop.call_later(wait_s, self._retry, client_attempt, now_s + wait_s)
 
-    def _again(self, ask: Ask, meant_s: float) -> None:
+    def _retry(self, previous: ClientAttempt, intended_s: float) -> None:
         number = self._numbers.next()
-        self._try(number, ask.first, ask.kind, ask.work_ms, meant_s, ask.first_s, ask.attempt + 1, ask.about)
-
-
-def draws_of(seed: int, office: int, proxy: int) -> tuple[Draws, Draws]:
-    """An office's clients' at one proxy: for what they ask, and for what they do about the answers."""
+        self._send_attempt(
+            number,
+            previous.first,
+            previous.kind,
+            previous.work_ms,
+            intended_s,
+            previous.first_s,
+            previous.attempt + 1,
+            previous.object_number,
+        )
+
+
+def client_draws(seed: int, office: int, proxy: int) -> tuple[Draws, Draws]:
+    """Draws of an office's clients at one proxy: for arrivals, and for reactions to answers."""
     return Draws(seed, "clients", office, proxy), Draws(seed, "moods", office, proxy)
 
 
-def keeps_of(kind: Office, moods: Draws) -> Callable[[], bool]:
-    """Does a client keep its connection after this answer? Asked for each."""
-    return lambda: kind.keeps >= 1 or moods.uniform() < kind.keeps
+def keep_alive_decider(office: Office, reaction_draws: Draws) -> Callable[[], bool]:
+    """A function that decides, after each answer, whether the client keeps its connection."""
+    return lambda: office.keeps >= 1 or reaction_draws.uniform() < office.keeps
 
 
-def rates_of(kind: Office, proxies: int, draws: Draws) -> dict[int, float]:
-    """How an office's rate is shared out among its proxies."""
-    which = list(kind.proxies) or list(range(proxies))
-    parts = [draws.lognormal(1.0, kind.unequal) for _ in which]
-    return {index: kind.rate * part / sum(parts) for index, part in zip(which, parts, strict=True)}
+def rates_by_proxy(office: Office, proxies: int, draws: Draws) -> dict[int, float]:
+    """An office's request rate at each of its proxies, by proxy index."""
+    proxy_indexes = list(office.proxies) or list(range(proxies))
+    weights = [draws.lognormal(1.0, office.unequal) for _ in proxy_indexes]
+    return {
+        index: office.rate * weight / sum(weights)
+        for index, weight in zip(proxy_indexes, weights, strict=True)
+    }
--- a/cloverrouter/lab/peers.py
+++ b/cloverrouter/lab/peers.py
@@ -1,7 +1,6 @@
-"""Scripted peers on loopback: hosts, discovery and clients that do and say exactly what a test tells them.
+"""Scripted peers on loopback: hosts, discovery and clients that send exactly what a test specifies.
 
-What behaves as the real ones do stands in the rules (`server`, `registry`, `office`) and their shells
-(`http`).
+Peers that behave as real ones do are in `server`, `registry` and `office`, with their I/O in `http`.
 """
 
 from __future__ import annotations
@@ -41,17 +40,20 @@
 
 @dataclass
 class Message:
+    """An HTTP/1.1 message. `start`: its start line."""
+
     start: str
     headers: dict[str, str]
     body: bytes
 
     @property
     def status(self) -> int:
+        """The status code of an answer."""
         return int(self.start.split()[1])
 
 
 async def read_message(reader: asyncio.StreamReader, before: bytes = b"") -> Message:
-    """`before`: what of its head has been read already."""
+    """Read a message. `before`: the part of its head that has been read already."""
     head = (before + await reader.readuntil(b"\r\n\r\n")).decode()
     start, *lines = head.strip().split("\r\n")
     headers = {name.lower(): value.strip() for name, _, value in (line.partition(":") for line in lines)}
@@ -72,29 +74,34 @@
 
 @dataclass
 class Seen:
-    """A request as a host got it."""
+    """A request that a host has received, and the number of the connection."""
 
     message: Message
     connection: int
 
 
 def ok(body: bytes = b"done", head: bytes = b"") -> bytes:
+    """Return an answer with status 200; `head` holds complete header lines."""
     return b"HTTP/1.1 200 OK\r\n%bContent-Length: %d\r\n\r\n%b" % (head, len(body), body)
 
 
 async def answer_ok(seen: Seen, writer: asyncio.StreamWriter) -> None:
+    """Answer with status 200."""
     writer.write(ok())
 
 
 async def never(seen: Seen, writer: asyncio.StreamWriter) -> None:
-    """No answer, on a connection that stays open."""
+    """Never answer; the connection stays open."""
 
 
 async def reset(seen: Seen, writer: asyncio.StreamWriter) -> None:
+    """Reset the connection."""
     writer.transport.abort()
 
 
 def raw(data: bytes, close: bool = False) -> Respond:
+    """Return a responder that sends `data` as it is, then closes the connection if `close`."""
+
     async def respond(seen: Seen, writer: asyncio.StreamWriter) -> None:
         writer.write(data)
         if close:
@@ -104,7 +111,7 @@
 
 
 class Host:
-    """A host that answers each request with `respond`, and remembers what it got."""
+    """A host that answers each request with `respond` and records what it receives."""
 
     def __init__(self, name: str, respond: Respond = answer_ok) -> None:
         self.name = name
@@ -115,6 +122,7 @@
         self.changed = asyncio.Condition()
 
     async def start(self) -> Host:
+        """Listen on a free port."""
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.port = self.server.sockets[0].getsockname()[1]
         return self
@@ -127,60 +135,66 @@
             while True:
                 seen = Seen(await read_message(reader), number)
                 self.seen.append(seen)
-                await self._tell()
+                await self._notify()
                 await self.respond(seen, writer)
         except (asyncio.IncompleteReadError, ConnectionError):
             pass
         finally:
             writer.close()
             del self.open[number]
-            await self._tell()
+            await self._notify()
 
-    async def _tell(self) -> None:
+    async def _notify(self) -> None:
         async with self.changed:
             self.changed.notify_all()
 
     async def wait(self, condition: Callable[[], bool]) -> None:
+        """Wait until `condition` holds; it is checked after each request and each end of a connection."""
         async with asyncio.timeout(LONG_S), self.changed:
             await self.changed.wait_for(condition)
 
     def entry(self, state: str = "active") -> dict[str, Any]:
+        """Return its entry in discovery's list."""
         return {"id": self.name, "addr": f"127.0.0.1:{self.port}", "zone": "a", "cell": 1, "state": state,
                 "weight": 1.0, "started_ms": 0}  # fmt: skip
 
 
 class Discovery:
-    """Answers a watch when `change` is called; `broken` answers take its place while they last."""
+    """Answers the next calls with `broken_answers`, if any; otherwise a watch when `change` is called."""
 
     def __init__(self) -> None:
         self.version = 1
         self.entries: dict[str, dict[str, Any]] = {}
         self.changes: list[tuple[int, str]] = []
-        self.broken: list[bytes] = []  # answers to the next calls; an empty one is a reset
+        self.broken_answers: list[bytes] = []  # answers to the next calls; an empty one is a reset
         self.calls: list[str] = []
-        self.holds = False  # end a watch after its hold, with no change? Else it waits for one for ever
+        self.ends_idle_watches = False  # if False, a watch waits for a change beyond its `hold_ms`
         self.changed = asyncio.Condition()
 
     async def start(self) -> Discovery:
+        """Listen on a free port."""
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.port = self.server.sockets[0].getsockname()[1]
         return self
 
     def listing(self, since: int | None = None) -> dict[str, Any]:
+        """Return the full list, or the changes after version `since`."""
         changed = [self.entries[name] for v, name in self.changes if v > (since or 0)]
         servers = list(self.entries.values()) if since is None else changed
         return {"version": self.version, "full": since is None, "servers": servers}
 
     async def change(self, *entries: dict[str, Any]) -> None:
+        """Add or replace entries, which increments the version and answers the watches."""
         async with self.changed:
             self.version += 1
             self.entries.update({entry["id"]: entry for entry in entries})
             self.changes += [(self.version, entry["id"]) for entry in entries]
             self.changed.notify_all()
 
-    async def asked(self, times: int) -> None:
+    async def wait_for_calls(self, count: int) -> None:
+        """Wait until at least `count` calls have been received in total."""
         async with asyncio.timeout(LONG_S), self.changed:
-            await self.changed.wait_for(lambda: len(self.calls) >= times)
+            await self.changed.wait_for(lambda: len(self.calls) >= count)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
@@ -189,14 +203,14 @@
                 async with self.changed:
                     self.calls.append(target)
                     self.changed.notify_all()
-                if self.broken:
-                    answer = self.broken.pop(0)
+                if self.broken_answers:
+                    answer = self.broken_answers.pop(0)
                     writer.write(answer)
                     if not answer:
                         writer.transport.abort()
                     continue
                 since = int(target.partition("from=")[2].partition("&")[0]) if "from=" in target else None
-                hold_s = int(target.partition("hold_ms=")[2] or 0) / 1000 if self.holds else None
+                hold_s = int(target.partition("hold_ms=")[2] or 0) / 1000 if self.ends_idle_watches else None
                 with suppress(TimeoutError):
                     async with asyncio.timeout(hold_s if since is not None else None), self.changed:
                         while since is not None and self.version <= since:
@@ -209,54 +223,60 @@
 
 
 class Client:
-    """One connection of the application."""
+    """One connection of a client to the proxy."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
         self.count = 0
 
     @property
-    def next_name(self) -> str:
-        """The id of the request that is asked next."""
+    def next_id(self) -> str:
+        """The id that the next request will have."""
         return f"{id(self):x}-{self.count + 1}"
 
     def send(self, target: str, body: bytes = b"x", timeout_ms: object = 2500, extra: str = "") -> None:
-        name = self.next_name
+        """Send a request; `extra` holds complete header lines."""
+        request_id = self.next_id
         self.count += 1
-        key = f"Idempotency-Key: k{name}\r\n" if target.startswith("/keyed") else ""
+        key = f"Idempotency-Key: k{request_id}\r\n" if target.startswith("/keyed") else ""
         head = (
-            f"POST {target} HTTP/1.1\r\nHost: backend.local\r\nX-Request-ID: {name}\r\n{key}{extra}"
+            f"POST {target} HTTP/1.1\r\nHost: backend.local\r\nX-Request-ID: {request_id}\r\n{key}{extra}"
             f"X-Timeout-Ms: {timeout_ms}\r\nContent-Length: {len(body)}\r\n\r\n"
         )
         self.writer.write(head.encode() + body)
 
     async def read(self) -> Message:
+        """Read an answer."""
         async with asyncio.timeout(LONG_S):
             return await read_message(self.reader)
 
-    async def ask(self, target: str, **how: Any) -> Message:
-        self.send(target, **how)
+    async def ask(self, target: str, **options: Any) -> Message:
+        """Send a request and read its answer; `options` are those of `send`."""
+        self.send(target, **options)
         return await self.read()
 
 
 class Proxy(ProxyProcess):
-    """The program, and clients of it."""
+    """A process of the proxy, and its clients."""
 
     async def client(self) -> Client:
+        """Open a connection to the proxy."""
         return Client(*await asyncio.open_connection(*self.endpoint))
 
     def successor(self, environ: dict[str, str]) -> Proxy:
-        """The process that takes over in an upgrade, not started yet: the same file and descriptors."""
-        told = json.loads(self.config.read_text())
-        return Proxy(told, self.config.parent, None, environ, inherit=self._inherit)
+        """Return the process that takes over in an upgrade, not started: same file and descriptors."""
+        spec = json.loads(self.config.read_text())
+        return Proxy(spec, self.config.parent, None, environ, inherit=self._inherit)
 
 
 class Listable(Protocol):
-    """A server, whatever it speaks, that discovery can name."""
+    """A server of any protocol that discovery can list."""
 
     name: str
 
-    def entry(self, state: str = "active") -> dict[str, Any]: ...
+    def entry(self, state: str = "active") -> dict[str, Any]:
+        """Return its entry in discovery's list."""
+        ...
 
 
 @asynccontextmanager
@@ -272,18 +292,19 @@
     inherit: tuple[int, ...] = (),
     contains: bool = False,
 ) -> AsyncIterator[Proxy]:
-    """The program with these hosts, up and answering. `more` goes into its file; `inherit`: descriptors.
+    """Run the proxy with these hosts, and yield it when its health check answers.
 
-    Raises RuntimeError if its log tells of an error that nobody expected, unless it may (`contains`).
+    `more` is added to its configuration; `inherit`: descriptors that it inherits. Raises RuntimeError if its
+    log reports a contained error, unless `contains`.
     """
     discovery.entries.update({host.name: host.entry() for host in hosts})
-    told = {"name": "n0", "listen": own_address(), "discovery": f"127.0.0.1:{discovery.port}", "seed": "8c1f",
+    spec = {"name": "n0", "listen": own_address(), "discovery": f"127.0.0.1:{discovery.port}", "seed": "8c1f",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
             "settings": {**SETTINGS, **(settings or {})}, **(more or {})}  # fmt: skip
     if known:
-        told["known"] = discovery.listing()
+        spec["known"] = discovery.listing()
     with tempfile.TemporaryDirectory() as folder:
-        proxy = Proxy(told, Path(folder), command, environ, inherit=inherit)
+        proxy = Proxy(spec, Path(folder), command, environ, inherit=inherit)
         proxy.start()
         try:
             await proxy.wait_health(*ready)
@@ -296,40 +317,42 @@
 
 @dataclass
 class Account:
-    """What servers received, by server: when, and which request; and how each was answered."""
+    """What each server received (time and request id), and the status codes of each request's answers."""
 
     received: dict[str, list[tuple[float, str]]] = field(default_factory=dict)
     answers: dict[str, list[int]] = field(default_factory=dict)
 
     def since(self, server: str, moment_s: float) -> int:
+        """Return how many requests `server` received after `moment_s`."""
         return sum(at_s > moment_s for at_s, _ in self.received[server])
 
     def runs(self) -> Counter[str]:
-        return Counter(name for got in self.received.values() for _, name in got)
+        """Return how many times each request was received by a server."""
+        return Counter(name for requests in self.received.values() for _, name in requests)
 
     def check(self) -> None:
-        """No request lost, none answered twice, none run twice, where nothing fails."""
+        """Assert that each request was answered once and none ran twice, as must hold without faults."""
         assert self.answers
-        assert all(len(told) == 1 for told in self.answers.values())
+        assert all(len(statuses) == 1 for statuses in self.answers.values())
         assert max(self.runs().values()) == 1
 
 
 async def working_host(name: str, account: Account, work_s: float = 0.02) -> Host:
-    """A server that takes a while for each request and notes when it came."""
+    """Start a server that takes `work_s` for each request and records in `account` when it arrived."""
     account.received[name] = []
 
     async def respond(seen: Seen, writer: asyncio.StreamWriter) -> None:
-        # Danger: on a busy machine this process reads late, and would blame the proxy for it.
-        came_s = time.monotonic() - (data_age_s(writer.get_extra_info("socket")) or 0.0)
-        account.received[name].append((came_s, seen.message.headers["x-request-id"]))
+        # On a busy machine this process reads late; without this correction the proxy would seem to be late.
+        received_s = time.monotonic() - (data_age_s(writer.get_extra_info("socket")) or 0.0)
+        account.received[name].append((received_s, seen.message.headers["x-request-id"]))
         await asyncio.sleep(work_s)
         writer.write(ok(name.encode(), b"X-Server-Load: inflight=3,queue=1\r\n"))
 
     return await Host(name, respond).start()
 
 
-class Askers:
-    """`count` connections, each asking one request after the other, every other one an entry-register."""
+class SteadyClients:
+    """`count` connections, each sending one request after the other, alternately keyed and unsafe."""
 
     def __init__(self, proxy: Proxy, account: Account, count: int = 4, pause_s: float = 0.02) -> None:
         self._proxy, self._account, self._pause_s = proxy, account, pause_s
@@ -339,9 +362,9 @@
     async def _run(self) -> None:
         client = await self._proxy.client()
         while not self._stopping:
-            name = client.next_name
+            request_id = client.next_id
             answer = await client.ask("/unsafe" if client.count % 2 else "/keyed")
-            self._account.answers.setdefault(name, []).append(answer.status)
+            self._account.answers.setdefault(request_id, []).append(answer.status)
             if answer.headers.get("connection") == "close":
                 client.writer.close()
                 count, client = client.count, await self._proxy.client()
@@ -350,6 +373,6 @@
         client.writer.close()
 
     async def stop(self) -> None:
-        """Every request under way gets its answer first."""
+        """Stop, after every request in flight has been answered."""
         self._stopping = True
         await asyncio.gather(*self._tasks)
--- a/cloverrouter/lab/records.py
+++ b/cloverrouter/lab/records.py
@@ -1,5 +1,7 @@
-"""Files of results: one run as JSON, many as SQLite. Both carry a version; a later one is told, never guessed
-at."""
+"""Result files: one run as JSON, the runs of a sweep as SQLite.
+
+Both formats carry a version; a file of a later version is rejected.
+"""
 
 from __future__ import annotations
 
@@ -19,15 +21,16 @@
 
 
 def write_run(path: str, result: Result) -> None:
-    told = {"lab_run": VERSION, **msgspec.to_builtins(result)}
-    Path(path).write_text(json.dumps(told))
+    """Write a run to a JSON file that `read_run` reads."""
+    document = {"lab_run": VERSION, **msgspec.to_builtins(result)}
+    Path(path).write_text(json.dumps(document))
 
 
 def read_run(path: str) -> Result:
-    """Raises `FileError` for a file that is missing, no run, or of a later version."""
+    """Read a run from a JSON file. Raises `FileError` if it is missing, not a run, or of a later version."""
     try:
-        told = json.loads(Path(path).read_text())
-        version = told.pop("lab_run")
+        document = json.loads(Path(path).read_text())
+        version = document.pop("lab_run")
     except OSError as error:
         raise FileError(path, [Fault("", f"can't be read: {error.strerror}", "give a run's file")]) from error
     except (ValueError, KeyError, AttributeError, TypeError) as error:
@@ -37,13 +40,16 @@
         right = f"this program reads up to version {VERSION}: use a newer one"
         raise FileError(path, [Fault("lab_run", f"is version {version}, a later one", right)])
     try:
-        return msgspec.convert(told, Result)
+        return msgspec.convert(document, Result)
     except msgspec.ValidationError as error:
         raise FileError(path, [Fault("", f"is damaged: {error}", "run it again")]) from error
 
 
 class Store:
-    """The runs of a sweep, each written when it is done: what is there survives an interruption."""
+    """The runs of a sweep in an SQLite database.
+
+    Each run is committed when it ends, so that an interrupted sweep keeps its completed runs.
+    """
 
     def __init__(self, path: str) -> None:
         self.path = path
@@ -71,27 +77,33 @@
                 """
             )
 
-    def plan(self, wanted: dict[str, Any] | None) -> dict[str, Any]:
-        """The sweep's plan; with `wanted`, kept as such, or compared with what is there."""
+    def plan(self, requested: dict[str, Any] | None) -> dict[str, Any]:
+        """Return the sweep's plan.
+
+        `requested` is stored if the database has no plan yet. Raises `FileError` if it differs from the
+        stored plan, or if there is neither.
+        """
         row = self._db.execute("SELECT text FROM plan").fetchone()
         if row is None:
-            if wanted is None:
+            if requested is None:
                 raise FileError(self.path, [Fault("", "holds no sweep", "start one with 'lab sweep'")])
             with self._db:
-                self._db.execute("INSERT INTO plan VALUES (1, ?)", (json.dumps(wanted, sort_keys=True),))
-            return wanted
-        known: dict[str, Any] = json.loads(row[0])
-        if wanted is not None and json.dumps(wanted, sort_keys=True) != row[0]:
-            differing = [key for key in known if known[key] != wanted.get(key)]
+                self._db.execute("INSERT INTO plan VALUES (1, ?)", (json.dumps(requested, sort_keys=True),))
+            return requested
+        stored: dict[str, Any] = json.loads(row[0])
+        if requested is not None and json.dumps(requested, sort_keys=True) != row[0]:
+            differing = [key for key in stored if stored[key] != requested.get(key)]
             text = f"holds another sweep: {', '.join(differing)} differ"
-            right = "go on with the same words, or name a new file"
+            right = "resume with the same arguments, or name a new file"
             raise FileError(self.path, [Fault("", text, right)])
-        return known
+        return stored
 
     def done(self) -> set[tuple[int, int]]:
+        """The cell and the seed of each stored run."""
         return {(cell, seed) for cell, seed in self._db.execute("SELECT cell, seed FROM run")}
 
     def add(self, cell: int, seed: int, result: Result | None, error: str = "") -> None:
+        """Store one run; `result` is None if it ended with an error."""
         figures = msgspec.json.encode(result.figures).decode() if result is not None else None
         digest, broken = (result.digest, result.broken) if result is not None else ("", "")
         with self._db:
@@ -101,10 +113,11 @@
             )
 
     def runs(self) -> Iterator[tuple[int, int, Figures | None, str, str]]:
-        """Each run: cell, seed, figures, the rule broken, the error."""
+        """Yield each stored run: cell, seed, figures, broken rule (or ""), error (or "")."""
         rows = self._db.execute("SELECT cell, seed, figures, broken, error FROM run ORDER BY cell, seed")
         for cell, seed, figures, broken, error in rows:
             yield cell, seed, msgspec.json.decode(figures, type=Figures) if figures else None, broken, error
 
     def close(self) -> None:
+        """Close the database."""
         self._db.close()
--- a/cloverrouter/lab/registry.py
+++ b/cloverrouter/lab/registry.py
@@ -1,6 +1,7 @@
-"""What discovery does: a list of servers, late, with versions, and watches on its changes.
+"""A discovery service for the lab: a versioned list of servers, updated with a delay, and long-poll watches.
 
-Rules without I/O, for whichever kind of time. A call ends by its `answer`, or is never answered.
+Performs no I/O and runs on simulated or real time. Each call ends with one call of its `answer`, unless
+discovery has stopped answering.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """A server as discovery lists it; `started_s` None: long ago. `address` is the driver's."""
+    """A server as discovery lists it. `started_s` None: long ago. The driver defines `address`."""
 
     name: str
     hall: str
@@ -27,15 +28,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Listing:
+    """An answer: the full list, or the entries that changed."""
+
     version: int
     full: bool
     entries: tuple[Entry, ...]
 
 
-Answer = Callable[[Listing | None], None]  # None: the call breaks
+Answer = Callable[[Listing | None], None]  # None: the connection breaks
 
 
 class _Watch:
+    """A pending long poll for changes after the version `since`."""
+
     __slots__ = ("answer", "over", "since")
 
     def __init__(self, since: int, answer: Answer) -> None:
@@ -43,71 +48,81 @@
 
 
 class Registry:
-    def __init__(self, loop: Loop, kind: Discovery, draws: Draws) -> None:
-        self._loop, self._kind, self._draws = loop, kind, draws
+    """One discovery service with its pending watches and injected faults."""
+
+    def __init__(self, loop: Loop, settings: Discovery, draws: Draws) -> None:
+        self._loop, self._settings, self._draws = loop, settings, draws
         self.version = 1
         self._entries: dict[str, Entry] = {}
         self._changes: list[tuple[int, str]] = []
-        self._pending: dict[str, int] = {}  # the last change of a server, for those that overtake others
+        # By server: number of its latest change. Older changes that arrive later are dropped.
+        self._latest_change: dict[str, int] = {}
         self._watches: list[_Watch] = []
-        self._old: Listing | None = None  # told instead, where discovery is stale
-        self._before = Listing(0, True, ())  # told every other time, where it contradicts itself
-        self.silent = 0
-        self.break_share = 0.0  # of the calls
+        self._stale_listing: Listing | None = None  # answered instead while discovery is stale
+        self._contradictory_listing = Listing(0, True, ())  # every second answer while it contradicts
+        self.silent = 0  # number of active faults that stop all answers
+        self.break_share = 0.0  # share of the calls whose connection breaks
         self.contradicts = False
         self._calls = 0
-        self.on_change: Callable[[Entry], None] = lambda entry: None  # it lists something else from now on
+        self.on_change: Callable[[Entry], None] = lambda entry: None  # the listed entry changed
 
     def begin(self, entries: list[Entry]) -> None:
-        """What it knows at the start."""
+        """Set the initial entries."""
         self._entries = {entry.name: entry for entry in entries}
 
     def listing(self) -> Listing:
+        """The full list."""
         listed = tuple(entry for entry in self._entries.values() if entry.state != "left")
         return Listing(self.version, True, listed)
 
     def changed(self, entry: Entry, why: str) -> None:
-        """The truth about a server has changed: it is listed so after a while, by `why`: add, notice,
-        crash."""
-        usual = {"add": self._kind.add_s, "notice": self._kind.notice_s, "crash": self._kind.crash_notice_s}
-        number = self._pending[entry.name] = self._pending.get(entry.name, 0) + 1
-        self._loop.call_later(usual[why] * self._draws.between(0.7, 1.3), self._list, entry, number)
-
-    def _list(self, entry: Entry, number: int) -> None:
-        if self._pending[entry.name] != number:
-            return  # something newer has been seen meanwhile
+        """A server has changed; the list follows after a delay set by `why` (add, notice or crash)."""
+        mean_delay_s = {
+            "add": self._settings.add_s,
+            "notice": self._settings.notice_s,
+            "crash": self._settings.crash_notice_s,
+        }
+        number = self._latest_change[entry.name] = self._latest_change.get(entry.name, 0) + 1
+        self._loop.call_later(
+            mean_delay_s[why] * self._draws.between(0.7, 1.3), self._apply_change, entry, number
+        )
+
+    def _apply_change(self, entry: Entry, number: int) -> None:
+        if self._latest_change[entry.name] != number:
+            return  # a newer change has overtaken this one
         self._entries[entry.name] = entry
         self.version += 1
         self._changes.append((self.version, entry.name))
         self.on_change(entry)
-        if not self.silent and self._old is None:
-            self._tell()
+        if not self.silent and self._stale_listing is None:
+            self._answer_watches()
 
-    def _tell(self) -> None:
+    def _answer_watches(self) -> None:
         watches, self._watches = self._watches, []
         for watch in watches:
             if not watch.over:
                 watch.over = True
-                watch.answer(self._since(watch.since))
+                watch.answer(self._changes_since(watch.since))
 
-    def _since(self, since: int) -> Listing:
+    def _changes_since(self, since: int) -> Listing:
         if since > self.version:
-            return self.listing()  # a version that this process never gave: it has restarted
+            return self.listing()  # a version from before a restart
         names = {name: None for version, name in self._changes if version > since}
         return Listing(self.version, False, tuple(self._entries[name] for name in names))
 
     def call(self, since: int | None, hold_s: float, answer: Answer) -> None:
-        """`since` None: the whole list at once. Else a watch: what is newer, or nothing after `hold_s`."""
+        """With `since` None, answer the full list at once. Otherwise answer the changes after `since`, or an
+        empty list if there are none within `hold_s`."""
         if self.silent:
             return
         self._calls += 1
         if self.break_share and self._draws.uniform() < self.break_share:
             answer(None)
             return
-        if self._old is not None or (self.contradicts and self._calls % 2):
-            old = self._before if self._old is None else self._old
-            if since is None or self._old is None:
-                answer(old)
+        if self._stale_listing is not None or (self.contradicts and self._calls % 2):
+            outdated = self._contradictory_listing if self._stale_listing is None else self._stale_listing
+            if since is None or self._stale_listing is None:
+                answer(outdated)
             else:
                 self._loop.call_later(hold_s, answer, Listing(since, False, ()))
             return
@@ -115,13 +130,13 @@
             answer(self.listing())
             return
         if since != self.version:
-            answer(self._since(since))
+            answer(self._changes_since(since))
             return
         watch = _Watch(since, answer)
         self._watches.append(watch)
-        self._loop.call_later(hold_s, self._end, watch)
+        self._loop.call_later(hold_s, self._expire_watch, watch)
 
-    def _end(self, watch: _Watch) -> None:
+    def _expire_watch(self, watch: _Watch) -> None:
         if not watch.over:
             watch.over = True
             if watch in self._watches:
@@ -131,32 +146,37 @@
 
     # Faults
 
-    def hush(self) -> None:
-        """From now on it answers nothing, and what waits is not answered either."""
+    def stop_answering(self) -> None:
+        """Answer no calls from now on; pending watches stay unanswered."""
         self.silent += 1
         for watch in self._watches:
             watch.over = True
         self._watches.clear()
 
-    def speak(self) -> None:
+    def resume_answering(self) -> None:
+        """End one `stop_answering`."""
         self.silent -= 1
 
-    def grow_stale(self) -> None:
-        self._old = self.listing()
+    def become_stale(self) -> None:
+        """Answer with the present list until `end_staleness`, and report no changes."""
+        self._stale_listing = self.listing()
 
-    def refresh(self) -> None:
-        self._old = None
-        self._tell()
+    def end_staleness(self) -> None:
+        """Answer with the current list again; pending watches get the changes they missed."""
+        self._stale_listing = None
+        self._answer_watches()
 
-    def contradict(self) -> None:
-        self._before = self.listing()
+    def start_contradicting(self) -> None:
+        """Answer every second call with a snapshot of the present list."""
+        self._contradictory_listing = self.listing()
         self.contradicts = True
 
-    def agree(self) -> None:
+    def stop_contradicting(self) -> None:
+        """Answer every call with the current list again."""
         self.contradicts = False
 
     def restart(self) -> None:
-        """A new process that counts from the start again; the watches on the old one break."""
+        """Restart as a new process: versions start from 1 again and pending watches break."""
         watches, self._watches = self._watches, []
         self.version = 1
         self._changes = [(1, name) for name in self._entries]
--- a/cloverrouter/lab/relay.py
+++ b/cloverrouter/lab/relay.py
@@ -1,4 +1,4 @@
-"""A UDP relay between members of a pair: loses, delays, doubles and cuts, each way by itself."""
+"""UDP relays between two members or in front of a server: loss, delay, duplication and cuts per direction."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 Address = tuple[str, int]
 
 
-class Way:
-    """One direction of a network of datagrams: loss, delays, copies, cuts.
+class DatagramPath:
+    """One direction of a datagram network: loss, delay, duplication, cuts.
 
-    `loss` and `double` are shares; `delay` draws how late a copy comes (seconds, or whatever the caller's
-    time is in). With `bursts`, mean lengths of a bad and of a good state, datagrams are lost in the bad one
-    only (Gilbert 1960).
+    `loss` and `duplicate` are probabilities; `delay` draws the delay of each copy, in the caller's unit of
+    time. With `bursts`, the mean lengths of a bad and of a good state, datagrams are lost only in the bad
+    state (Gilbert 1960).
     """
 
     def __init__(
@@ -24,38 +24,38 @@
         delay: Callable[[], float] = lambda: 0.0,
         bursts: tuple[float, float] | None = None,
         loss: float = 0.0,
-        double: float = 0.0,
+        duplicate: float = 0.0,
     ) -> None:
         self._random, self._bursts = random, bursts
-        self.delay, self.loss, self.double = delay, loss, double
+        self.delay, self.loss, self.duplicate = delay, loss, duplicate
         self.cut = False
         self.cut_until = 0.0
-        self._bad, self._until = bursts is None, float("inf") if bursts is None else 0.0
+        self._lossy, self._state_ends = bursts is None, float("inf") if bursts is None else 0.0
         self.passed = self.lost = 0
 
-    def times(self, now: float) -> list[float]:
-        """After how long each copy comes; none if it is lost."""
+    def copy_delays(self, now: float) -> list[float]:
+        """Return the delay of each copy of a datagram sent at `now`; empty if it is lost."""
         random = self._random
-        while now >= self._until and self._bursts is not None:
-            self._bad = not self._bad
-            self._until += random.expovariate(1 / self._bursts[0 if self._bad else 1])
-        copies = 2 if random.random() < self.double else 1
-        found = []
+        while now >= self._state_ends and self._bursts is not None:
+            self._lossy = not self._lossy
+            self._state_ends += random.expovariate(1 / self._bursts[0 if self._lossy else 1])
+        copies = 2 if random.random() < self.duplicate else 1
+        delays = []
         for _ in range(copies):
-            lost = self._bad and random.random() < self.loss
+            lost = self._lossy and random.random() < self.loss
             if not (lost or self.cut or now < self.cut_until):
-                found.append(self.delay())
-        self.lost += not found
-        self.passed += bool(found)
-        return found
+                delays.append(self.delay())
+        self.lost += not delays
+        self.passed += bool(delays)
+        return delays
 
 
-class End(asyncio.DatagramProtocol):
-    """What stands in for one member towards another: what comes here goes on from the other's end."""
+class RelaySocket(asyncio.DatagramProtocol):
+    """A relay's socket at one member: forwards what it receives through the `other` socket to `target`."""
 
-    def __init__(self, way: Way, target: Address) -> None:
-        self.way, self.target = way, target
-        self.other: End | None = None
+    def __init__(self, path: DatagramPath, target: Address) -> None:
+        self.path, self.target = path, target
+        self.other: RelaySocket | None = None
         self.transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -64,46 +64,52 @@
     def datagram_received(self, data: bytes, addr: Address) -> None:
         assert self.other is not None
         loop = asyncio.get_running_loop()
-        for wait_s in self.way.times(loop.time()):
-            loop.call_later(wait_s, self.other.send_on, data, self.target)
+        for delay_s in self.path.copy_delays(loop.time()):
+            loop.call_later(delay_s, self.other.forward, data, self.target)
 
-    def send_on(self, data: bytes, target: Address) -> None:
+    def forward(self, data: bytes, target: Address) -> None:
+        """Send a datagram from this socket."""
         if self.transport is not None and not self.transport.is_closing():
             self.transport.sendto(data, target)
 
 
 class Relay:
-    """Between two members at their own addresses. `for_a` is where a sends for b, `for_b` the other way;
-    each sees the other at that address."""
+    """A relay between members a and b.
+
+    a sends datagrams for b to `address_for_a` and receives b's from there; `address_for_b` is the same for b.
+    """
 
     def __init__(self, seed: int, a: Address, b: Address) -> None:
         random = Random(seed)
-        self.a_to_b, self.b_to_a = Way(random), Way(random)
-        self._ends = End(self.a_to_b, b), End(self.b_to_a, a)
-        self._ends[0].other, self._ends[1].other = self._ends[1], self._ends[0]
-        self.for_a: Address = ("", 0)
-        self.for_b: Address = ("", 0)
+        self.a_to_b, self.b_to_a = DatagramPath(random), DatagramPath(random)
+        self._sockets = RelaySocket(self.a_to_b, b), RelaySocket(self.b_to_a, a)
+        self._sockets[0].other, self._sockets[1].other = self._sockets[1], self._sockets[0]
+        self.address_for_a: Address = ("", 0)
+        self.address_for_b: Address = ("", 0)
 
     async def start(self, host_for_a: str, host_for_b: str) -> Relay:
+        """Open the two sockets."""
         loop = asyncio.get_running_loop()
         found = []
-        for end, host in zip(self._ends, (host_for_a, host_for_b), strict=True):
+        for end, host in zip(self._sockets, (host_for_a, host_for_b), strict=True):
             transport, _ = await loop.create_datagram_endpoint(lambda end=end: end, local_addr=(host, 0))  # type: ignore[misc]
             found.append(transport.get_extra_info("sockname")[:2])
-        self.for_a, self.for_b = found
+        self.address_for_a, self.address_for_b = found
         return self
 
     def cut(self, cut: bool = True) -> None:
+        """Cut both directions, or restore them."""
         self.a_to_b.cut = self.b_to_a.cut = cut
 
     def close(self) -> None:
-        for end in self._ends:
+        """Close the sockets."""
+        for end in self._sockets:
             if end.transport is not None:
                 end.transport.close()
 
 
-class Outward(asyncio.DatagramProtocol):
-    """A client's port on the far side of a `Nat`."""
+class NatSocket(asyncio.DatagramProtocol):
+    """A client's port on the server side of a `Nat`."""
 
     def __init__(self, nat: Nat, client: Address) -> None:
         self.nat, self.client = nat, client
@@ -113,22 +119,25 @@
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
-        self.nat.back(data, self.client)
+        self.nat.on_server_datagram(data, self.client)
 
 
 class Nat(asyncio.DatagramProtocol):
-    """Any number of clients on the way to one server, each seen there at a port of its own; `rebind` gives
-    all of them new ones, as a box does that has forgotten its flows."""
+    """A NAT between clients and one server, with a port for each client.
+
+    `rebind` gives every client a new port, as a NAT device does that has lost its table of flows.
+    """
 
     def __init__(self, seed: int, server: Address) -> None:
         random = Random(seed)
-        self.out, self.home = Way(random), Way(random)
+        self.to_server, self.to_clients = DatagramPath(random), DatagramPath(random)
         self.address: Address = ("", 0)  # where clients send
         self._server = server
-        self._outward: dict[Address, asyncio.Task[Outward]] = {}
+        self._sockets: dict[Address, asyncio.Task[NatSocket]] = {}
         self._transport: asyncio.DatagramTransport | None = None
 
     async def start(self, host: str = "127.0.0.1") -> Nat:
+        """Open the socket for the clients."""
         loop = asyncio.get_running_loop()
         self._transport, _ = await loop.create_datagram_endpoint(lambda: self, local_addr=(host, 0))
         self.address = self._transport.get_extra_info("sockname")[:2]
@@ -136,51 +145,53 @@
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
         loop = asyncio.get_running_loop()
-        if addr not in self._outward:
-            self._outward[addr] = loop.create_task(self._open(addr))
-        for wait_s in self.out.times(loop.time()):
-            loop.call_later(wait_s, self._send_on, data, addr)
+        if addr not in self._sockets:
+            self._sockets[addr] = loop.create_task(self._open(addr))
+        for delay_s in self.to_server.copy_delays(loop.time()):
+            loop.call_later(delay_s, self._send_to_server, data, addr)
 
-    async def _open(self, client: Address) -> Outward:
+    async def _open(self, client: Address) -> NatSocket:
         loop = asyncio.get_running_loop()
         _, end = await loop.create_datagram_endpoint(
-            lambda: Outward(self, client), local_addr=(self.address[0], 0)
+            lambda: NatSocket(self, client), local_addr=(self.address[0], 0)
         )
         return end
 
-    def _send_on(self, data: bytes, client: Address) -> None:
-        task = self._outward.get(client)
+    def _send_to_server(self, data: bytes, client: Address) -> None:
+        task = self._sockets.get(client)
         if task is not None:
-            task.add_done_callback(lambda task: self._sent(task, data))
+            task.add_done_callback(lambda task: self._forward(task, data))
 
-    def _sent(self, task: asyncio.Task[Outward], data: bytes) -> None:
+    def _forward(self, task: asyncio.Task[NatSocket], data: bytes) -> None:
         if not task.cancelled() and task.exception() is None:
             transport = task.result().transport
             if transport is not None and not transport.is_closing():
                 transport.sendto(data, self._server)
 
-    def back(self, data: bytes, client: Address) -> None:
+    def on_server_datagram(self, data: bytes, client: Address) -> None:
+        """Forward a datagram of the server to `client`."""
         loop = asyncio.get_running_loop()
-        for wait_s in self.home.times(loop.time()):
-            loop.call_later(wait_s, self._to_client, data, client)
+        for delay_s in self.to_clients.copy_delays(loop.time()):
+            loop.call_later(delay_s, self._send_to_client, data, client)
 
-    def _to_client(self, data: bytes, client: Address) -> None:
+    def _send_to_client(self, data: bytes, client: Address) -> None:
         if self._transport is not None and not self._transport.is_closing():
             self._transport.sendto(data, client)
 
     def rebind(self) -> None:
-        """What comes to the old ports from here on finds nobody."""
-        old, self._outward = self._outward, {}
+        """Give each client a new port; the old ports are closed."""
+        old, self._sockets = self._sockets, {}
         for task in old.values():
             task.add_done_callback(_close)
 
     def close(self) -> None:
+        """Close all sockets."""
         self.rebind()
         if self._transport is not None:
             self._transport.close()
 
 
-def _close(task: asyncio.Task[Outward]) -> None:
+def _close(task: asyncio.Task[NatSocket]) -> None:
     if not task.cancelled() and task.exception() is None:
         transport = task.result().transport
         if transport is not None:
--- a/cloverrouter/lab/report.py
+++ b/cloverrouter/lab/report.py
@@ -1,8 +1,8 @@
-"""One self-contained page (HTML, plots as SVG) of one run, of two overlaid, or of a sweep.
+"""A self-contained page (HTML with SVG plots) of one run, two overlaid runs, a sweep, or runs at scale.
 
-Plots are vector, on white, in the colours of Okabe and Ito (2008), which the colour-blind can tell apart;
-lines also differ by dash and marker, bars by hatch, so that a print in black and white can be read too.
-However many requests a run had, a plot holds a value a second.
+Plots use the colour-blind safe palette of Okabe and Ito (2008) on white. Lines also differ by dash and
+marker, areas by hatch, so that they can be told apart in black and white. A plot holds at most one value a
+second, however many requests a run had.
 """
 
 from __future__ import annotations
@@ -26,14 +26,14 @@
 from cloverrouter.lab.scale import IN_FORCE_S, Report
 from cloverrouter.lab.scaletext import scale_lines
 from cloverrouter.lab.sweep import Factor, Row, rows_of
-from cloverrouter.lab.text import fit, run_lines, sweep_lines
+from cloverrouter.lab.text import downsample, run_lines, sweep_lines
 
 COLOURS = ("#0072B2", "#D55E00", "#009E73", "#CC79A7", "#E69F00", "#56B4E9", "#000000", "#F0E442")
 DASHES: tuple[Any, ...] = ("-", (0, (5, 2)), (0, (1, 1)), (0, (3, 1, 1, 1)))
 HATCHES = ("", "//", "..", "xx", "\\\\", "++", "oo", "--")
 WIDTH, HEIGHT = 10.0, 2.6  # inches
-MOST_POINTS = 600
-MOST_SERVERS = 40
+MAX_POINTS = 600
+MAX_SERVERS = 40
 STYLE = """
 body { font: 16px/1.45 system-ui, sans-serif; max-width: 1100px; margin: 2em auto; padding: 0 1em; color: #111
 } h1 { font-size: 1.5em } h2 { font-size: 1.15em; margin: 1.6em 0 .3em } svg { width: 100%; height: auto } pre
@@ -44,11 +44,11 @@
 
 
 def _svg(figure: Figure) -> str:
-    text = io.StringIO()
-    figure.savefig(text, format="svg", metadata={"Date": None})
+    buffer = io.StringIO()
+    figure.savefig(buffer, format="svg", metadata={"Date": None})
     pyplot.close(figure)
-    whole = text.getvalue()
-    return whole[whole.index("<svg") :]
+    document = buffer.getvalue()
+    return document[document.index("<svg") :]
 
 
 def _axes(height: float = HEIGHT) -> tuple[Figure, Axes]:
@@ -61,8 +61,8 @@
     return figure, axes
 
 
-def _faults(axes: Axes, result: Result) -> None:
-    """The faults as grey bands, each with its name."""
+def _mark_faults(axes: Axes, result: Result) -> None:
+    """Draw the faults as grey bands with their names."""
     for i, (from_s, to_s, what) in enumerate(result.series.faults[:12]):
         axes.axvspan(from_s, to_s, color="#000000", alpha=0.08, linewidth=0, zorder=0)
         axes.annotate(
@@ -71,33 +71,37 @@
         )  # fmt: skip
 
 
-def _seconds(values: Sequence[float]) -> tuple[list[float], list[float]]:
-    """Values a second as points; of a long run, means of neighbours."""
-    points = fit(values, MOST_POINTS)
+def _time_points(values: Sequence[float]) -> tuple[list[float], list[float]]:
+    """The times and values of a series with one value a second; long series are downsampled."""
+    points = downsample(values, MAX_POINTS)
     step = len(values) / max(1, len(points))
     return [(i + 0.5) * step for i in range(len(points))], points
 
 
-def _over_time(results: Sequence[Result]) -> str:
+def _worth_plot(results: Sequence[Result]) -> str:
     figure, axes = _axes()
     for i, result in enumerate(results):
-        s = result.series
-        share = [good / asked if asked else 1.0 for good, asked in zip(s.good, s.asked, strict=True)]
+        series = result.series
+        in_aim_shares = [
+            good / asked if asked else 1.0 for good, asked in zip(series.good, series.asked, strict=True)
+        ]
         label = f"{'ab'[i]}: {result.scenario['name']}" if len(results) > 1 else "worth in aim / asked"
-        axes.plot(*_seconds(share), color=COLOURS[i], linestyle=DASHES[i], linewidth=1.8, label=label)
+        axes.plot(
+            *_time_points(in_aim_shares), color=COLOURS[i], linestyle=DASHES[i], linewidth=1.8, label=label
+        )
     axes.set(ylim=(-0.02, 1.05), xlabel="s", ylabel="worth in aim / asked")
-    _faults(axes, results[0])
+    _mark_faults(axes, results[0])
     axes.legend(loc="lower left", frameon=False)
     return _svg(figure)
 
 
-def _stack(series: dict[str, list[int]], label: str, result: Result) -> str:
-    """Counts a second, stacked."""
-    names = sorted(series, key=lambda name: -sum(series[name]))[:MOST_SERVERS]
+def _stacked_plot(series: dict[str, list[int]], label: str, result: Result) -> str:
+    """A stacked area plot of counts a second."""
+    names = sorted(series, key=lambda name: -sum(series[name]))[:MAX_SERVERS]
     figure, axes = _axes(max(HEIGHT, 0.11 * len(names) + 0.7))
     if names:
-        x = _seconds([float(v) for v in series[names[0]]])[0]
-        layers = [_seconds([float(v) for v in series[name]])[1] for name in names]
+        x = _time_points([float(v) for v in series[names[0]]])[0]
+        layers = [_time_points([float(v) for v in series[name]])[1] for name in names]
         axes.stackplot(
             x, *layers, labels=names, step="mid", edgecolor="white", linewidth=0.2,
             colors=[COLOURS[i % len(COLOURS)] for i in range(len(names))],
@@ -111,38 +115,38 @@
             ncols=1 + (len(names) > 10),
         )
     axes.set(xlabel="s", ylabel=label)
-    _faults(axes, result)
+    _mark_faults(axes, result)
     return _svg(figure)
 
 
-def _map(series: dict[str, list[float]], result: Result) -> str:
-    """A row for each server, a column for each second: white where no proxy would send."""
-    names = sorted(series, key=_by_number)[:MOST_SERVERS]
+def _server_heat_map(series: dict[str, list[float]], result: Result) -> str:
+    """A heat map, servers by seconds, of the share of proxies that would send to a server."""
+    names = sorted(series, key=_server_sort_key)[:MAX_SERVERS]
     figure, axes = _axes(max(HEIGHT, 0.22 * len(names) + 0.9))
     if names:
-        rows = [_seconds(series[name])[1] for name in names]
-        shades = axes.imshow(
+        rows = [_time_points(series[name])[1] for name in names]
+        image = axes.imshow(
             rows, aspect="auto", cmap="cividis", vmin=0, vmax=1, interpolation="nearest",
             extent=(0, len(series[names[0]]), len(names) - 0.5, -0.5),
         )  # fmt: skip
         axes.set_yticks(range(len(names)), names, fontsize=8)
-        figure.colorbar(shades, label="share of proxies that would send to it")
+        figure.colorbar(image, label="share of proxies that would send to it")
     axes.grid(False)
     axes.set(xlabel="s")
     for from_s, to_s, _ in result.series.faults[:12]:
-        for at in (from_s, to_s):
-            axes.axvline(at, color="#D55E00", linewidth=0.8, linestyle=":")
+        for edge_s in (from_s, to_s):
+            axes.axvline(edge_s, color="#D55E00", linewidth=0.8, linestyle=":")
     return _svg(figure)
 
 
-def _by_number(name: str) -> tuple[str, int, str]:
+def _server_sort_key(name: str) -> tuple[str, int, str]:
     base, _, rest = name.partition("-")
     number = rest.partition("+")[0]
     return base, int(number) if number.isdigit() else 0, rest
 
 
-def _latencies(results: Sequence[Result]) -> str:
-    """The share of served tries within a time, by class."""
+def _latency_plot(results: Sequence[Result]) -> str:
+    """The cumulative distribution of the latency of served tries, by class."""
     from hdrh.histogram import HdrHistogram
 
     figure, axes = _axes()
@@ -166,28 +170,30 @@
     return _svg(figure)
 
 
-def _heat(factors: Sequence[Factor], rows: Sequence[Row], figure_name: str) -> str:
-    """A sweep over its first two factors; further ones are averaged, and the interval stands in each
-    field."""
+def _sweep_heat_map(factors: Sequence[Factor], rows: Sequence[Row], figure_name: str) -> str:
+    """A heat map of a sweep over its first two factors, averaged over further ones.
+
+    Each field shows the mean and the outermost bounds of the intervals.
+    """
     first = factors[0] if factors else Factor("", [""])
     second = factors[1] if len(factors) > 1 else Factor("", [""])
     means = numpy.full((len(second.values), len(first.values)), numpy.nan)
     texts: dict[tuple[int, int], str] = {}
-    for j, other in enumerate(second.values):
-        for i, one in enumerate(first.values):
-            at = [
+    for j, second_value in enumerate(second.values):
+        for i, first_value in enumerate(first.values):
+            intervals = [
                 row.means[figure_name]
                 for row in rows
                 if figure_name in row.means
-                and (not factors or row.values[0] == one)
-                and (len(factors) < 2 or row.values[1] == other)
+                and (not factors or row.values[0] == first_value)
+                and (len(factors) < 2 or row.values[1] == second_value)
             ]
-            if at:
-                means[j, i] = sum(mean for mean, _, _ in at) / len(at)
-                low, high = min(low for _, low, _ in at), max(high for _, _, high in at)
+            if intervals:
+                means[j, i] = sum(mean for mean, _, _ in intervals) / len(intervals)
+                low, high = min(low for _, low, _ in intervals), max(high for _, _, high in intervals)
                 texts[j, i] = f"{means[j, i]:.3g}\n{low:.3g} to {high:.3g}"
     figure, axes = _axes(1.2 + 0.55 * len(second.values))
-    shades = axes.imshow(means, aspect="auto", cmap="cividis")
+    image = axes.imshow(means, aspect="auto", cmap="cividis")
     for (j, i), text in texts.items():
         low, high = numpy.nanmin(means), numpy.nanmax(means)
         dark = high > low and (means[j, i] - low) / (high - low) < 0.5
@@ -196,7 +202,7 @@
     axes.set_xticks(range(len(first.values)), [str(value) for value in first.values])
     axes.set_yticks(range(len(second.values)), [str(value) for value in second.values])
     axes.set(xlabel=first.path, ylabel=second.path)
-    figure.colorbar(shades)
+    figure.colorbar(image)
     return _svg(figure)
 
 
@@ -208,12 +214,12 @@
     )
 
 
-def _text(lines: Sequence[str]) -> str:
+def _preformatted(lines: Sequence[str]) -> str:
     return f"<pre>{html.escape(chr(10).join(lines))}</pre>"
 
 
 def write_runs(path: str, results: Sequence[Result]) -> None:
-    """A page of one run, or of two overlaid."""
+    """Write a page of one run, or of two overlaid runs."""
     first = results[0]
     title = " and ".join(f"{r.scenario['name']}, seed {r.seed}, {r.driver}" for r in results)
     sections: list[tuple[str, str]] = []
@@ -222,45 +228,57 @@
         if notes:
             sections.append(("Before you trust the figures", notes))
         if result.broken:
-            shown = f'<p class="broken">{html.escape(result.broken)}</p>' + _text(result.last[-30:])
-            sections.append(("A rule is broken", shown))
-    sections.append(("Service over time, the faults in grey", _over_time(results)))
+            content = f'<p class="broken">{html.escape(result.broken)}</p>' + _preformatted(result.last[-30:])
+            sections.append(("A rule is broken", content))
+    sections.append(("Service over time, the faults in grey", _worth_plot(results)))
     for i, result in enumerate(results):
-        which = f" ({'ab'[i]})" if len(results) > 1 else ""
-        s = result.series
+        suffix = f" ({'ab'[i]})" if len(results) > 1 else ""
+        series = result.series
         sections += [
-            (f"Given up by the proxies, a second, by reason{which}", _stack(s.reasons, "tries", result)),
-            (f"Attempts a second, by server{which}", _stack(s.sends, "attempts", result)),
+            (
+                f"Given up by the proxies, a second, by reason{suffix}",
+                _stacked_plot(series.reasons, "tries", result),
+            ),
+            (f"Attempts a second, by server{suffix}", _stacked_plot(series.sends, "attempts", result)),
         ]
-        if s.believed:
-            sections.append((f"What the proxies believed of each server{which}", _map(s.believed, result)))
-    sections.append(("Time to the answer", _latencies(results)))
+        if series.believed:
+            sections.append(
+                (
+                    f"What the proxies believed of each server{suffix}",
+                    _server_heat_map(series.believed, result),
+                )
+            )
+    sections.append(("Time to the answer", _latency_plot(results)))
     for result in results:
-        sections.append((f"Figures: {result.scenario['name']}, seed {result.seed}", _text(run_lines(result))))
+        sections.append(
+            (f"Figures: {result.scenario['name']}, seed {result.seed}", _preformatted(run_lines(result)))
+        )
     about = html.escape(first.scenario.get("about", ""))
     Path(path).write_text(_page(title, [("What happens", f"<p>{about}</p>"), *sections]))
 
 
 def write_sweep(path: str, store: Store) -> None:
-    """A page of a sweep: heat maps over its first two factors, and the whole table."""
+    """Write a page of a sweep: heat maps over its first two factors, and the full table."""
     factors, rows = rows_of(store)
     names = [
         name
         for name in ("worth in aim", "refused a request", "waste", "99% ms")
         if any(name in r.means for r in rows)
     ]
-    sections = [(f"{name}: mean, and interval", _heat(factors, rows, name)) for name in names]
-    sections.append(("All combinations", _text(sweep_lines(factors, rows))))
+    sections = [(f"{name}: mean, and interval", _sweep_heat_map(factors, rows, name)) for name in names]
+    sections.append(("All combinations", _preformatted(sweep_lines(factors, rows))))
     title = f"Sweep of {store.plan(None)['scenario']['name']}"
     Path(path).write_text(_page(title, sections))
 
 
-def _by_size(reports: Sequence[Report], lines: Sequence[tuple[str, str]], label: str, bound: float) -> str:
-    """Figures of runs by how many proxies each had; both axes logarithmic, the bound dotted."""
+def _plot_by_size(
+    reports: Sequence[Report], curves: Sequence[tuple[str, str]], label: str, bound: float
+) -> str:
+    """A log-log plot of figures by the number of proxies, with the bound as a dotted line."""
     figure, axes = _axes(3.2)
     runs = sorted(reports, key=lambda report: int(str(report.plan["nodes"])))
     sizes = [int(str(report.plan["nodes"])) for report in runs]
-    for i, (name, text) in enumerate(lines):
+    for i, (name, text) in enumerate(curves):
         values = [max(report.figures[name], 1e-6) for report in runs]
         axes.plot(
             sizes, values, color=COLOURS[i], linestyle=DASHES[i], marker="os^D"[i], label=text
@@ -278,29 +296,42 @@
 
 
 def write_scale(path: str, reports: Sequence[Report]) -> None:
-    """A page of runs at scale: time in force, bytes and processor time by size."""
+    """Write a page of runs at scale: delay until in force, bytes and CPU time by number of proxies."""
     sections: list[tuple[str, str]] = []
     for report in reports:
         if report.complaints:
-            shown = "".join(f'<p class="broken">{html.escape(text)}</p>' for text in report.complaints)
-            sections.append((f"Failed: {report.plan['scenario']}, {report.plan['nodes']} proxies", shown))
+            content = "".join(f'<p class="broken">{html.escape(text)}</p>' for text in report.complaints)
+            sections.append((f"Failed: {report.plan['scenario']}, {report.plan['nodes']} proxies", content))
     for scenario in sorted({str(report.plan["scenario"]) for report in reports}):
-        mine = [report for report in reports if report.plan["scenario"] == scenario]
-        force = [
+        scenario_reports = [report for report in reports if report.plan["scenario"] == scenario]
+        delay_curves = [
             ("in_force_p50_s", "half of all"),
             ("in_force_p99_s", "99 in 100"),
             ("in_force_last_s", "the last"),
         ]
-        sections.append((f"{scenario}: time until in force", _by_size(mine, force, "s", IN_FORCE_S)))
-        cost = [
+        sections.append(
+            (
+                f"{scenario}: time until in force",
+                _plot_by_size(scenario_reports, delay_curves, "s", IN_FORCE_S),
+            )
+        )
+        cpu_curves = [
             ("cpu_quiet", "nothing changes"), ("cpu_mean", "whole run"), ("cpu_worst", "worst second of one"),
         ]  # fmt: skip
         sections.append(
-            (f"{scenario}: control, of real proxies", _by_size(mine, cost, "share of a core", 0.016))
+            (
+                f"{scenario}: control, of real proxies",
+                _plot_by_size(scenario_reports, cpu_curves, "share of a core", 0.016),
+            )
+        )
+        byte_curves = [("bytes_mean", "mean"), ("bytes_worst", "worst second of one")]
+        sections.append(
+            (
+                f"{scenario}: bytes of control",
+                _plot_by_size(scenario_reports, byte_curves, "bytes a second", 4096),
+            )
         )
-        sent = [("bytes_mean", "mean"), ("bytes_worst", "worst second of one")]
-        sections.append((f"{scenario}: bytes of control", _by_size(mine, sent, "bytes a second", 4096)))
     for report in reports:
         head = f"Figures: {report.plan['scenario']}, {report.plan['nodes']} proxies"
-        sections.append((head, _text(scale_lines(report))))
+        sections.append((head, _preformatted(scale_lines(report))))
     Path(path).write_text(_page("Many proxies on one machine", sections))
--- a/cloverrouter/lab/scaletext.py
+++ b/cloverrouter/lab/scaletext.py
@@ -1,4 +1,4 @@
-"""What a run at scale showed: as lines for a terminal, and as a file."""
+"""Results of a run at scale: printed as lines, written to a file and read from it."""
 
 from __future__ import annotations
 
@@ -7,14 +7,15 @@
 
 import msgspec
 
-from cloverrouter.lab.scale import APART, KIND, Report, bounds
+from cloverrouter.lab.scale import KIND, TOLERANCE, Report, bounds
 from cloverrouter.lab.text import table
 from cloverrouter.strict import Fault, FileError
 
-PARTS = ("quiet", "calm", "burst", "down", "return", "cut", "heal")
+PHASES = ("quiet", "calm", "burst", "down", "return", "cut", "heal")
 
 
 def scale_lines(report: Report) -> list[str]:
+    """The report as lines for a terminal."""
     plan, figures = report.plan, report.figures
     lines = [
         f"{plan['scenario']}: {plan['nodes']} proxies, {plan['real']} of them real, that know "
@@ -28,13 +29,13 @@
         for name, measured, bound, unit in bounds(figures)
     ]
     lines += [*table(["figure", "measured", "bound", ""], rows), ""]
-    spans = " / ".join(f"{figures[f'in_force_{part}_s']:.3f}" for part in ("p50", "p99", "last"))
-    lines.append(f"in force, 50/99% and last: {spans} s, by the call that each makes once it has taken it in")
-    parts = [part for part in PARTS if f"cpu_{part}" in figures]
-    told = ", ".join(f"{part} {figures[f'cpu_{part}']:.2%}" for part in parts)
-    lines.append(f"control of a real proxy, share of a core: {told}")
-    told = ", ".join(f"{part} {figures.get(f'bytes_{part}', nan):.0f}" for part in parts)
-    lines.append(f"control of a proxy, bytes a second: {told}")
+    times = " / ".join(f"{figures[f'in_force_{part}_s']:.3f}" for part in ("p50", "p99", "last"))
+    lines.append(f"in force, 50/99% and last: {times} s, by the call that each makes once it has taken it in")
+    phases = [part for part in PHASES if f"cpu_{part}" in figures]
+    figure_list = ", ".join(f"{part} {figures[f'cpu_{part}']:.2%}" for part in phases)
+    lines.append(f"control of a real proxy, share of a core: {figure_list}")
+    figure_list = ", ".join(f"{part} {figures.get(f'bytes_{part}', nan):.0f}" for part in phases)
+    lines.append(f"control of a proxy, bytes a second: {figure_list}")
     names, count = report.instances[0], len(report.instances)
     worst = {name: max(one[name] for one in report.instances) for name in names}
     mean = {name: sum(one[name] for one in report.instances) / count for name in names}
@@ -48,10 +49,16 @@
         "",
     ]
     agreed = [
-        [one.name, f"{one.hollow:.4g}", f"{one.real:.4g}", f"{one.apart:+.1%}", "" if one.agrees else "APART"]
+        [
+            one.name,
+            f"{one.hollow:.4g}",
+            f"{one.real:.4g}",
+            f"{one.deviation:+.1%}",
+            "" if one.agrees else "APART",
+        ]
         for one in report.agreements
     ]
-    lines += table([f"within {APART:.0%}", "hollow", "real", "", ""], agreed)
+    lines += table([f"within {TOLERANCE:.0%}", "hollow", "real", "", ""], agreed)
     lines += [
         "",
         *report.notes,
@@ -61,10 +68,12 @@
 
 
 def write_report(path: str, report: Report) -> None:
+    """Write the report to a JSON file."""
     Path(path).write_bytes(msgspec.json.format(msgspec.json.encode(report), indent=1))
 
 
 def is_scale(path: str) -> bool:
+    """Whether the file holds the report of a run at scale."""
     try:
         return bool(msgspec.json.decode(Path(path).read_bytes()).get("kind") == KIND)
     except (OSError, msgspec.DecodeError, AttributeError):
@@ -72,7 +81,7 @@
 
 
 def read_scale(path: str) -> Report:
-    """Raises `FileError`."""
+    """Read a report. Raises `FileError` if the file holds none."""
     try:
         found = msgspec.json.decode(Path(path).read_bytes(), type=Report)
     except (OSError, msgspec.DecodeError) as error:
--- a/cloverrouter/lab/simcall.py
+++ b/cloverrouter/lab/simcall.py
@@ -1,10 +1,10 @@
-"""A client's try of a request in simulated time."""
+"""A client's request in simulated time, as the proxy's node sees it."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
-from cloverrouter.lab.office import Ask
+from cloverrouter.lab.office import ClientAttempt
 from cloverrouter.proxy.messages import Answer, Call
 
 if TYPE_CHECKING:
@@ -12,25 +12,28 @@
 
 
 class SimCall(Call):
-    """A client's try, as the node sees it."""
+    """One request of a client. `late`: it arrived earlier and waited while the proxy was paused.
 
-    __slots__ = ("ask", "late", "life", "proxy")
+    `life` is the incarnation of the proxy that accepted it.
+    """
 
-    def __init__(self, proxy: SimProxy, ask: Ask, now_ms: float, late: bool) -> None:
-        self.proxy, self.ask, self.life = proxy, ask, proxy.lives
-        self.arrived_ms, self.late = now_ms, late
+    __slots__ = ("ask", "is_delayed", "life", "proxy")
+
+    def __init__(self, proxy: SimProxy, ask: ClientAttempt, now_ms: float, late: bool) -> None:
+        self.proxy, self.ask, self.life = proxy, ask, proxy.incarnation
+        self.arrived_ms, self.is_delayed = now_ms, late
         self.request_id = b"%d" % ask.number
         self.class_name = ask.kind.name
         self.tenant = self.cost_ms = None
-        self.key = str(ask.about) if ask.about else None
-        self.timeout_ms = ask.patience_s * 1000
-        self.repeat = ask.attempt > 0
-
-    def left(self) -> bool:
-        """Its client's end lies here, unread: the kernel would tell."""
-        if self.ask.over and self.proxy.node is not None:
-            self.proxy.node.gone(self)
-        return self.ask.over
+        self.key = str(ask.object_number) if ask.object_number else None
+        self.timeout_ms = ask.timeout_s * 1000
+        self.is_retry = ask.attempt > 0
+
+    def is_disconnected(self) -> bool:
+        """Whether the client has disconnected. The node is notified if so, as it is by a real socket."""
+        if self.ask.finished and self.proxy.node is not None:
+            self.proxy.node.disconnected(self)
+        return self.ask.finished
 
     def served(self, answer: Answer) -> None:
         self.proxy.answered(self, "served", None)
--- a/cloverrouter/lab/simclock.py
+++ b/cloverrouter/lab/simclock.py
@@ -1,4 +1,4 @@
-"""The time of one simulated proxy, which may stand still while the others' goes on."""
+"""The clock of one simulated proxy, which can be paused independently of the others."""
 
 from __future__ import annotations
 
@@ -7,22 +7,22 @@
 
 from cloverrouter.lab.engine import Engine, Timer
 from cloverrouter.proxy.containment import UncontainedErrors
-from cloverrouter.proxy.wake import Wake
+from cloverrouter.proxy.wake import PauseDetector
 
 
 class PausableClock:
-    """The time of one proxy: a `Loop` whose calls wait while the proxy stands still.
+    """The event loop of one proxy: a `Loop` whose calls are delayed while the proxy's process is paused.
 
-    What comes for it meanwhile waits, too, as in a socket's buffer, and is met before the timers.
+    Data that arrives meanwhile is delayed, too, as in a socket's buffer, and is handled before the timers.
     """
 
     def __init__(self, engine: Engine) -> None:
         self._engine = engine
-        self.wake = Wake()
+        self.pause_detector = PauseDetector()
         self.contained_errors = UncontainedErrors()
-        self.from_s: float | None = None  # since when it stands
-        self._came: list[tuple[Callable[..., object], tuple[Any, ...]]] = []
-        self._due: list[tuple[Timer, Callable[..., object], tuple[Any, ...]]] = []
+        self.paused_since_s: float | None = None  # start of the current pause
+        self._deferred: list[tuple[Callable[..., object], tuple[Any, ...]]] = []
+        self._expired: list[tuple[Timer, Callable[..., object], tuple[Any, ...]]] = []
 
     def time(self) -> float:
         return self._engine.now
@@ -33,32 +33,34 @@
         return timer
 
     def _fire(self, timer: Timer, callback: Callable[..., object], args: tuple[Any, ...]) -> None:
-        if self.from_s is not None:
-            self._due.append((timer, callback, args))
+        if self.paused_since_s is not None:
+            self._expired.append((timer, callback, args))
         elif not timer.cancelled:
             callback(*args)
 
-    def away(self, met: Callable[..., object], *args: Any) -> bool:
-        """Does it stand still? Then `met` waits until it goes on."""
-        if self.from_s is not None:
-            self._came.append((met, args))
-        return self.from_s is not None
+    def defer_if_paused(self, handler: Callable[..., object], *args: Any) -> bool:
+        """Whether the proxy is paused; if so, `handler` is called with `args` when it resumes."""
+        if self.paused_since_s is not None:
+            self._deferred.append((handler, args))
+        return self.paused_since_s is not None
 
-    def stand(self) -> None:
-        if self.from_s is None:
-            self.from_s = self._engine.now
+    def pause(self) -> None:
+        """Pause the proxy, as SIGSTOP does."""
+        if self.paused_since_s is None:
+            self.paused_since_s = self._engine.now
 
-    def go_on(self) -> None:
-        if self.from_s is None:
+    def resume(self) -> None:
+        """Resume: report the pause, then handle the deferred data and the expired timers, in this order."""
+        if self.paused_since_s is None:
             return
-        from_s, self.from_s = self.from_s, None
-        gap = self.wake.took(from_s, self._engine.now, 0.0)
-        for hear in self.wake.on_gap:
-            hear(gap)
-        came, self._came = self._came, []
-        for met, args in came:
-            met(*args)
-        due, self._due = self._due, []
-        for timer, callback, args in due:
+        paused_since_s, self.paused_since_s = self.paused_since_s, None
+        gap = self.pause_detector.record_pause(paused_since_s, self._engine.now, 0.0)
+        for listener in self.pause_detector.on_pause:
+            listener(gap)
+        deferred, self._deferred = self._deferred, []
+        for handler, args in deferred:
+            handler(*args)
+        expired, self._expired = self._expired, []
+        for timer, callback, args in expired:
             if not timer.cancelled:
                 callback(*args)
--- a/cloverrouter/lab/worker.py
+++ b/cloverrouter/lab/worker.py
@@ -1,10 +1,10 @@
-"""One worker process: runs of the lab by lines of JSON on standard input, results on standard output.
+"""A worker process: reads runs as JSON lines from standard input, writes results to standard output.
 
     python .../lab/worker.py CHECKOUT
 
-The module and the node come from CHECKOUT, the lab always from where this file stands: two checkouts are
-measured with the same yardstick. A line is {"scenario": {...}, "seed": 1}; the answer {"result": {...}} or
-{"error": "..."}. It ends with its input.
+The decision module and the node come from CHECKOUT, the lab from this file's directory, so that two checkouts
+are measured by the same lab. A line is {"scenario": {...}, "seed": 1}, the answer {"result": {...}} or
+{"error": "..."}. The process ends at the end of its input.
 """
 
 from __future__ import annotations
@@ -16,15 +16,15 @@
 
 
 def prepare(checkout: str) -> None:
-    """Let `cloverrouter` be the checkout's, with this lab in it."""
-    own = Path(__file__).resolve().parent
+    """Import `cloverrouter` from the checkout, with this lab as its subpackage `lab`."""
+    lab_directory = Path(__file__).resolve().parent
     sys.path[0] = checkout
     import cloverrouter
 
-    # What the checkout has not, such as the lab's own needs, comes from here.
-    cloverrouter.__path__.append(str(own.parent))
+    # Modules that the checkout lacks, such as those that only this lab needs, are imported from this package.
+    cloverrouter.__path__.append(str(lab_directory.parent))
     spec = importlib.util.spec_from_file_location(
-        "cloverrouter.lab", own / "__init__.py", submodule_search_locations=[str(own)]
+        "cloverrouter.lab", lab_directory / "__init__.py", submodule_search_locations=[str(lab_directory)]
     )
     assert spec is not None and spec.loader is not None
     lab = importlib.util.module_from_spec(spec)
@@ -33,6 +33,7 @@
 
 
 def main() -> None:
+    """Answer each line of standard input."""
     prepare(sys.argv[1])
     import msgspec
 
@@ -40,11 +41,11 @@
     from cloverrouter.lab.simulation import simulate
 
     out = sys.stdout
-    sys.stdout = sys.stderr  # whatever else is printed must not be taken for a result
+    sys.stdout = sys.stderr  # other output must not be read as a result
     for line in sys.stdin:
-        told = json.loads(line)
+        request = json.loads(line)
         try:
-            answer = {"result": msgspec.to_builtins(simulate(build(told["scenario"]), told["seed"]))}
+            answer = {"result": msgspec.to_builtins(simulate(build(request["scenario"]), request["seed"]))}
         except Exception as error:
             answer = {"error": f"{type(error).__name__}: {error}"}
         out.write(json.dumps(answer) + "\n")
--- a/cloverrouter/lab/workers.py
+++ b/cloverrouter/lab/workers.py
@@ -1,4 +1,4 @@
-"""Runs spread over worker processes. One that dies costs the run that it had, and is replaced."""
+"""Distributes runs over worker processes. A worker that dies is replaced, and its run is tried again."""
 
 from __future__ import annotations
 
@@ -17,32 +17,34 @@
 
 from cloverrouter.lab.account import Result
 
-OWN = str(Path(__file__).resolve().parents[2])
-TRIES = 2  # of a run whose worker dies
+OWN_CHECKOUT = str(Path(__file__).resolve().parents[2])
+MAX_TRIES = 2  # per run, if its worker dies
 
 
 class Run(NamedTuple):
-    """A run to be done. `key` is the caller's."""
+    """A run to do. `key` identifies it to the caller."""
 
     key: Any
     scenario: dict[str, Any]
     seed: int
-    checkout: str = OWN
+    checkout: str = OWN_CHECKOUT
 
 
-class Done(NamedTuple):
+class RunOutcome(NamedTuple):
+    """A run that has ended: its result, or None and the error."""
+
     key: Any
     result: Result | None
     error: str
 
 
 class Worker:
-    """A worker process; at most one run at a time."""
+    """A worker process, which does one run at a time."""
 
     def __init__(self, checkout: str) -> None:
         self.checkout = checkout
         self.run: Run | None = None
-        # One thread each: the machine's cores are shared by runs, not by the libraries within one.
+        # One thread per worker: the runs share the machine's cores, not the libraries within a run.
         environ = {**os.environ, "OPENBLAS_NUM_THREADS": "1", "OMP_NUM_THREADS": "1"}
         self.process = subprocess.Popen(
             [sys.executable, str(Path(__file__).with_name("worker.py")), checkout],
@@ -53,17 +55,21 @@
         assert self.process.stdout is not None and self.process.stdin is not None
         self.out, self._in = self.process.stdout, self.process.stdin
         os.set_blocking(self.out.fileno(), False)
-        self._text = b""
+        self._buffer = b""
 
     def start(self, run: Run) -> None:
+        """Send a run to the process."""
         self.run = run
         line = json.dumps({"scenario": run.scenario, "seed": run.seed}) + "\n"
-        with suppress(OSError):  # it has died: its end is read as such
+        with suppress(OSError):  # the process has died: `read` notices
             self._in.write(line.encode())
             self._in.flush()
 
     def read(self) -> tuple[Result | None, str] | None:
-        """The result and the error of its run; None while it is not whole. Raises EOFError if it has died."""
+        """The result and the error of its run; None if the answer is incomplete.
+
+        Raises EOFError if the process has died.
+        """
         while True:
             try:
                 data = os.read(self.out.fileno(), 1 << 20)
@@ -71,45 +77,49 @@
                 return None
             if not data:
                 raise EOFError
-            self._text += data
-            if self._text.endswith(b"\n"):
-                told, self._text = json.loads(self._text), b""
-                if "error" in told:
-                    return None, str(told["error"])
-                return msgspec.convert(told["result"], Result), ""
+            self._buffer += data
+            if self._buffer.endswith(b"\n"):
+                answer, self._buffer = json.loads(self._buffer), b""
+                if "error" in answer:
+                    return None, str(answer["error"])
+                return msgspec.convert(answer["result"], Result), ""
 
     def close(self) -> None:
-        for end in (self._in, self.out):
+        """Terminate the process and wait for its end."""
+        for stream in (self._in, self.out):
             with suppress(OSError):
-                end.close()
+                stream.close()
         if self.process.poll() is None:
             self.process.terminate()
         self.process.wait()
 
 
-def spread(
+def run_all(
     runs: Iterable[Run], jobs: int, started: Callable[[Worker], None] = lambda worker: None
-) -> Iterator[Done]:
-    """Each run's end, in the order in which they end. `started` is told of each worker that takes a run."""
-    left = deque((run, 1) for run in runs)
-    tries: dict[int, int] = {}
+) -> Iterator[RunOutcome]:
+    """Yield the outcome of each run, in the order in which they end.
+
+    `started` is called with each worker that starts a run.
+    """
+    pending = deque((run, 1) for run in runs)
+    try_numbers: dict[int, int] = {}
     workers: list[Worker] = []
     selector = selectors.DefaultSelector()
 
-    def give(worker: Worker | None) -> None:
-        """The next run, to this worker if it is of the right checkout."""
-        if not left:
+    def assign_next(worker: Worker | None) -> None:
+        """Start the next run, on this worker if it has the run's checkout, else on a new one."""
+        if not pending:
             if worker is not None:
                 retire(worker)
             return
-        run, number = left.popleft()
+        run, try_number = pending.popleft()
         if worker is None or worker.checkout != run.checkout:
             if worker is not None:
                 retire(worker)
             worker = Worker(run.checkout)
             workers.append(worker)
             selector.register(worker.out, selectors.EVENT_READ, worker)
-        tries[id(worker)] = number
+        try_numbers[id(worker)] = try_number
         worker.start(run)
         started(worker)
 
@@ -120,28 +130,30 @@
 
     try:
         for _ in range(max(1, jobs)):
-            give(None)
+            assign_next(None)
         while workers:
             for key, _ in selector.select():
                 worker: Worker = key.data
                 run = worker.run
                 assert run is not None
                 try:
-                    found = worker.read()
+                    outcome = worker.read()
                 except EOFError:
-                    number = tries[id(worker)]
+                    try_number = try_numbers[id(worker)]
                     retire(worker)
                     code = worker.process.returncode
-                    # Danger: a run that kills its worker would be tried for ever, or end the whole sweep.
-                    if number < TRIES:
-                        left.append((run, number + 1))
+                    # Bounded: a run that kills its workers must neither repeat forever nor end a sweep.
+                    if try_number < MAX_TRIES:
+                        pending.append((run, try_number + 1))
                     else:
-                        yield Done(run.key, None, f"its worker died {number} times, with exit code {code}")
-                    give(None)
+                        yield RunOutcome(
+                            run.key, None, f"its worker died {try_number} times, with exit code {code}"
+                        )
+                    assign_next(None)
                     continue
-                if found is not None:
-                    give(worker)
-                    yield Done(run.key, *found)
+                if outcome is not None:
+                    assign_next(worker)
+                    yield RunOutcome(run.key, *outcome)
     finally:
         for worker in list(workers):
             retire(worker)
--- a/cloverrouter/lab/world.py
+++ b/cloverrouter/lab/world.py
@@ -1,4 +1,7 @@
-"""What both drivers make of a scenario: its parties, each with draws of its own."""
+"""Builds the parties of a scenario, each with its own random stream, and the proxies' settings.
+
+Both drivers use it, the one in simulated time and the one on sockets.
+"""
 
 from __future__ import annotations
 
@@ -7,31 +10,31 @@
 from cloverrouter.clock import Loop
 from cloverrouter.interface import (
     Idempotency,
+    IdempotencyScope,
     Limits,
-    RepeatScope,
     RequestClass,
     Settings,
 )
-from cloverrouter.interface import Safety as Rules
+from cloverrouter.interface import Safety as SafetySettings
 from cloverrouter.lab.draws import Draws
 from cloverrouter.lab.network import Net
 from cloverrouter.lab.office import Level, Mix, Numbers
 from cloverrouter.lab.registry import Registry
 from cloverrouter.lab.scenario import Scenario, Servers
-from cloverrouter.lab.server import Memory, Server, Watching
+from cloverrouter.lab.server import Memory, Server, ServerObserver
 
 REPORT_FIELDS = ("inflight", "queue", "latency_ms")
 
 
 def group_of(server: Server, group: str) -> str:
-    """The servers that share the memory of a keyed class's requests."""
+    """Return the group of a server; its servers share the memory of a class's idempotency keys."""
     return {"all": "all", "zone": server.hall, "cell": f"{server.hall}/{server.rack}"}[group]
 
 
 class Parties:
-    """Servers, discovery, network and mix of a scenario; `seed` is the run's."""
+    """Servers, discovery, network and mix of request classes of a scenario; `seed` is that of the run."""
 
-    def __init__(self, scenario: Scenario, seed: int, loop: Loop, watching: Watching) -> None:
+    def __init__(self, scenario: Scenario, seed: int, loop: Loop, watching: ServerObserver) -> None:
         self.scenario, self.seed, self.loop, self.watching = scenario, seed, loop, watching
         self.net = Net(scenario.network, Draws(seed, "network"))
         self.registry = Registry(loop, scenario.discovery, Draws(seed, "discovery"))
@@ -47,26 +50,30 @@
                 self.add(f"{kind.name}-{i + 1}", kind, hall, i // len(kind.halls) % kind.racks, None)
 
     def add(self, name: str, kind: Servers, hall: str, rack: int, started_s: float | None) -> Server:
+        """Create a server. `started_s` None: it has been running for long and is warm."""
         draws = Draws(self.seed, "server", name)
         spread = kind.speed_spread
         speed = kind.speed * draws.between(1 - spread, 1 + spread)
         server = Server(
             self.loop, name, hall, rack, kind, self.scenario.safety, speed, draws,
-            mean_work_ms=self._mean_work_ms, started_s=started_s, watching=self.watching,
+            mean_work_ms=self._mean_work_ms, started_s=started_s, observer=self.watching,
         )  # fmt: skip
-        for cls in self.scenario.class_:
-            server.groups[cls.name] = group_of(server, cls.group)
-            if cls.effect == "keyed":
-                group = server.groups[cls.name]
-                memory = self._memories.get((cls.name, group))
+        for request_class in self.scenario.class_:
+            server.groups[request_class.name] = group_of(server, request_class.group)
+            if request_class.effect == "keyed":
+                group = server.groups[request_class.name]
+                memory = self._memories.get((request_class.name, group))
                 if memory is None:
-                    memory = self._memories[cls.name, group] = Memory(cls.window_ms / 1000)
-                server.memories[cls.name] = memory
+                    memory = self._memories[request_class.name, group] = Memory(
+                        request_class.window_ms / 1000
+                    )
+                server.memories[request_class.name] = memory
         self.servers[name] = server
         self.net.place(name, hall)
         return server
 
     def hall_of_proxy(self, index: int) -> str:
+        """Return the hall of a proxy; the proxies are spread evenly over the halls."""
         return self.halls[index % len(self.halls)]
 
 
@@ -74,7 +81,7 @@
 
 
 def settings_of(scenario: Scenario, index: int, hall: str) -> Settings:
-    """What the module of one proxy is told."""
+    """Return the settings of the decision module of one proxy."""
     safety, proxies = scenario.safety, scenario.proxies
     return Settings(
         classes=tuple(
@@ -84,8 +91,8 @@
                 deadline_ms=c.deadline_ms,
                 worth=c.worth,
                 idempotency=EFFECTS[c.effect],
-                repeat_scope=RepeatScope(c.group),
-                repeat_window_ms=c.window_ms,
+                idempotency_scope=IdempotencyScope(c.group),
+                idempotency_window_ms=c.window_ms,
             )
             for c in scenario.class_
         ),
@@ -102,20 +109,20 @@
             connect_timeout_ms=proxies.connect_timeout_ms,
             max_open=proxies.sockets // 3,
         ),
-        safety=Rules(
+        safety=SafetySettings(
             cold_share=safety.cold_share,
             cold_ms=safety.cold_s * 1000,
-            push_multiple=safety.fall_multiple,
-            push_window_ms=safety.fall_s * 1000,
-            must_ask_ms=safety.must_ask_s * 1000,
+            overload_multiple=safety.fall_multiple,
+            overload_window_ms=safety.fall_s * 1000,
+            discovery_poll_ms=safety.must_ask_s * 1000,
         ),
     )
 
 
 def facts_of(scenario: Scenario, index: int, hall: str) -> dict[str, Any]:
-    """The same as `settings_of`, in the form in which a real proxy's configuration has it."""
+    """Return the same as `settings_of`, in the form of a real proxy's configuration."""
     settings = settings_of(scenario, index, hall)
-    words = {"safe": "retryable", "keyed": "dedup", "unsafe": "fragile"}
+    effect_names = {"safe": "retryable", "keyed": "dedup", "unsafe": "fragile"}
     return {
         "balancers": settings.proxies,
         "ordinal": index,
@@ -136,7 +143,7 @@
                 "aim_ms": c.aim_ms,
                 "deadline_ms": c.deadline_ms,
                 "worth": c.worth,
-                "effect": words[c.effect],
+                "effect": effect_names[c.effect],
                 "group": c.group,
                 "window_ms": c.window_ms,
             }
@@ -145,8 +152,8 @@
         "safety": {
             "cold_share": settings.safety.cold_share,
             "cold_ms": settings.safety.cold_ms,
-            "fall_multiple": settings.safety.push_multiple,
-            "fall_ms": settings.safety.push_window_ms,
-            "must_ask_in_ms": settings.safety.must_ask_ms,
+            "fall_multiple": settings.safety.overload_multiple,
+            "fall_ms": settings.safety.overload_window_ms,
+            "must_ask_in_ms": settings.safety.discovery_poll_ms,
         },
     }
--- a/cloverrouter/leases/__init__.py
+++ b/cloverrouter/leases/__init__.py
@@ -1,1 +1,1 @@
-"""Leases for tasks of a fleet: named rights, one holder at a time or k at most, with tokens that grow."""
+"""Leases for a fleet's tasks: one holder at a time, or at most k, each with a fencing token that grows."""
