--- a/cloverrouter/leases/run.py
+++ b/cloverrouter/leases/run.py
@@ -1,8 +1,8 @@
-"""`task run NAME -- COMMAND`: a command that runs only while this proxy's member holds the task.
+"""`task run NAME -- COMMAND`: runs a command only while this proxy's member holds the task.
 
-The program asks the proxy by its control socket, and the proxy goes on contending, and renewing, only while
-it is asked. Its right ends at a time of CLOCK_BOOTTIME, which is one for the whole machine: so the command is
-told to stop, and killed, before that, also when the proxy has died or does not answer.
+The program polls the proxy over its control socket, and the proxy contends and renews only while it is
+polled. The lease ends at a time of CLOCK_BOOTTIME, which all processes of the machine share, so the command
+is terminated and, if need be, killed before that time, also when the proxy has died or does not answer.
 """
 
 from __future__ import annotations
@@ -18,63 +18,64 @@
 from typing import Any
 
 from cloverrouter.clock import now_s
-from cloverrouter.control.client import ControlClient, Lost, Unreachable
-from cloverrouter.seams import Right
+from cloverrouter.control.client import ConnectionLost, ControlClient, Unreachable
+from cloverrouter.seams import TaskLease
 
-# Exit codes beside the command's own (a command that a signal ended: 128 and the signal's number).
+# Exit codes beside the command's own (for a command that a signal ended: 128 plus the signal's number).
 UNREACHABLE, NOT_HELD, STOPPED, KILLED, TOO_LONG, NOT_RUN = 120, 121, 122, 123, 124, 127
-MARGIN_S = 0.05  # between the kill and the right's end
-LOOKS_S = 0.05
-GRACE_SHARE = 0.55  # of a promise, that a command may be given to stop in
-ASKS_S = 0.15  # between two questions to the proxy
+KILL_MARGIN_S = 0.05  # between the kill and the end of the lease
+POLL_INTERVAL_S = 0.05  # for the state of the command
+MAX_GRACE_SHARE = 0.55  # of the duration of a grant
+KEEP_INTERVAL_S = 0.15  # between requests to the proxy
 
 
 class Refused(Exception):
-    """The proxy does not let this program have the task."""
+    """The proxy refuses the task to this program."""
 
 
-class Keeper:
-    """What the proxy says of the right, asked again and again over one connection, or a new one."""
+class LeaseKeeper:
+    """Keeps a task through the proxy, over one control connection that is replaced when it fails."""
 
     def __init__(self, path: Path, task: str, room: int, grace_s: float) -> None:
         self._path, self._task, self._room, self._grace_s = path, task, room, grace_s
         self._client: ControlClient | None = None
-        self.right: Right | None = None
-        self.why_not, self.reached = "", False
+        self.right: TaskLease | None = None
+        self.reason, self.reached = "", False
 
-    def ask(self, timeout_s: float) -> None:
-        """Raises `Refused`. Where nobody answers, the right that is known stands, up to its end."""
+    def renew(self, timeout_s: float) -> None:
+        """Ask the proxy for the task or for more time. Without an answer the current right stays valid until
+        it ends. Raises `Refused`."""
         try:
             if self._client is None:
                 self._client = ControlClient(self._path, timeout_s)
-            self._client.wait_at_most(timeout_s)
-            told = self._client.ask("task", action="keep", name=self._task, room=self._room)
-        except (Unreachable, Lost) as wrong:
-            self.why_not, self.reached = str(wrong), False
+            self._client.set_timeout(timeout_s)
+            answer = self._client.ask("task", action="keep", name=self._task, room=self._room)
+        except (Unreachable, ConnectionLost) as error:
+            self.reason, self.reached = str(error), False
             self.close()
             return
         self.reached = True
-        if not told["ok"] and told["error"]["code"] == "busy":
-            self.right, self.why_not = None, told["error"]["text"]
+        if not answer["ok"] and answer["error"]["code"] == "busy":
+            self.right, self.reason = None, answer["error"]["text"]
             return
-        if not told["ok"]:
-            raise Refused(f"{told['error']['text']}; {told['error']['right']}")
-        found: dict[str, Any] = told["result"]
-        most_s = GRACE_SHARE * found["promise_s"]
-        if self._grace_s > most_s:
-            # A right that is renewed in time has no less left, ever; with more to stop in it seems lost.
-            raise Refused(f"--grace {self._grace_s:g} is too long for its promises; at most {most_s:g}")
-        token = found["token"]
-        self.right = Right(token, found["seat"], found["until_s"]) if token is not None else None
-        self.why_not = "another holds it, or too few voters answer"
+        if not answer["ok"]:
+            raise Refused(f"{answer['error']['text']}; {answer['error']['right']}")
+        result: dict[str, Any] = answer["result"]
+        max_grace_s = MAX_GRACE_SHARE * result["promise_s"]
+        if self._grace_s > max_grace_s:
+            # Renewal in time leaves at least this share of a lease; a longer grace makes it seem lost.
+            raise Refused(f"--grace {self._grace_s:g} is too long for its promises; at most {max_grace_s:g}")
+        token = result["token"]
+        self.right = TaskLease(token, result["seat"], result["until_s"]) if token is not None else None
+        self.reason = "another holds it, or too few voters answer"
 
     def drop(self) -> None:
-        """The proxy may let others have it."""
+        """Tell the proxy that the task is no longer needed."""
         try:
             if self._client is not None:
                 self._client.ask("task", action="drop", name=self._task)
-        except Lost:
-            pass  # it gives the task back when nobody asks for it any more
+        except ConnectionLost:
+            pass  # the proxy releases a task that is no longer polled for
         self.close()
 
     def close(self) -> None:
@@ -82,12 +83,12 @@
             self._client.close()
             self._client = None
 
-    def left_s(self) -> float:
+    def remaining_s(self) -> float:
         return self.right.until_s - now_s() if self.right is not None else 0.0
 
 
 def _signal(command: subprocess.Popen[bytes], number: int) -> None:
-    """To it and to all that it has started."""
+    """Signal the command and all processes in its process group."""
     with suppress(ProcessLookupError):
         os.killpg(command.pid, number)
 
@@ -100,79 +101,82 @@
     wait_s: float | None,
     longest_s: float | None,
     grace_s: float,
-    say: Callable[[str], None] = lambda text: print(text, file=sys.stderr),
+    report: Callable[[str], None] = lambda text: print(text, file=sys.stderr),
 ) -> int:
-    """The exit code. `wait_s`: for the task, `longest_s`: for the command (None: without end); `grace_s`:
-    between telling it to stop and killing it."""
-    keeper, begun_s = Keeper(path, task, room, grace_s), now_s()
-    told: list[int] = []
-    before = [
-        signal.signal(number, lambda number, frame: told.append(number))
+    """Run a command under the lease of a task; returns the exit code.
+
+    `wait_s`: time limit for acquiring the task, `longest_s`: time limit for the command (None: no limit),
+    `grace_s`: from the command's SIGTERM to its SIGKILL.
+    """
+    keeper, started_s = LeaseKeeper(path, task, room, grace_s), now_s()
+    signals: list[int] = []
+    previous_handlers = [
+        signal.signal(number, lambda number, frame: signals.append(number))
         for number in (signal.SIGTERM, signal.SIGINT)
     ]
     try:
         while True:
-            keeper.ask(2.0)
+            keeper.renew(2.0)
             if keeper.right is not None:
                 break
-            if told:
-                return 128 + told[0]
-            if wait_s is not None and now_s() - begun_s >= wait_s:
-                say(f"task {task} is not held after {wait_s:g} s: {keeper.why_not}")
+            if signals:
+                return 128 + signals[0]
+            if wait_s is not None and now_s() - started_s >= wait_s:
+                report(f"task {task} is not held after {wait_s:g} s: {keeper.reason}")
                 return NOT_HELD if keeper.reached else UNREACHABLE
-            time.sleep(ASKS_S)
-        return _carry_out(keeper, task, command, longest_s, grace_s, told, say)
-    except Refused as wrong:
-        say(f"task {task}: {wrong}")
+            time.sleep(KEEP_INTERVAL_S)
+        return _run_command(keeper, task, command, longest_s, grace_s, signals, report)
+    except Refused as error:
+        report(f"task {task}: {error}")
         return NOT_HELD
     finally:
         keeper.drop()
-        for number, handler in zip((signal.SIGTERM, signal.SIGINT), before, strict=True):
+        for number, handler in zip((signal.SIGTERM, signal.SIGINT), previous_handlers, strict=True):
             signal.signal(number, handler)
 
 
-def _carry_out(
-    keeper: Keeper,
+def _run_command(
+    keeper: LeaseKeeper,
     task: str,
     command: Sequence[str],
     longest_s: float | None,
     grace_s: float,
-    told: list[int],
-    say: Callable[[str], None],
+    signals: list[int],
+    report: Callable[[str], None],
 ) -> int:
     assert keeper.right is not None
-    first = keeper.right
-    environ = {"TASK_NAME": task, "TASK_TOKEN": str(first.token), "TASK_SEAT": str(first.seat)}
+    right = keeper.right
+    variables = {"TASK_NAME": task, "TASK_TOKEN": str(right.token), "TASK_SEAT": str(right.seat)}
     try:
-        child = subprocess.Popen(command, env={**os.environ, **environ}, start_new_session=True)
+        child = subprocess.Popen(command, env={**os.environ, **variables}, start_new_session=True)
     except OSError as error:
-        say(f"{command[0]} can't be started: {error}")
+        report(f"{command[0]} can't be started: {error}")
         return NOT_RUN
-    begun_s = asked_s = now_s()
-    stopping: tuple[float, int, str] | None = None  # since when, with which code, why
+    started_s = asked_s = now_s()
+    stopping: tuple[float, int, str] | None = None  # time of the SIGTERM, exit code, reason
     while child.poll() is None:
         now = now_s()
-        if now - asked_s >= ASKS_S:
+        if now - asked_s >= KEEP_INTERVAL_S:
             asked_s = now
-            # Danger: a proxy that does not answer must not keep this from killing in time.
-            keeper.ask(max(0.05, min(1.0, keeper.left_s() - grace_s - MARGIN_S)))
+            # The timeout leaves time to kill the command when the proxy does not answer.
+            keeper.renew(max(0.05, min(1.0, keeper.remaining_s() - grace_s - KILL_MARGIN_S)))
         if stopping is None:
-            if told:
-                stopping = now, 128 + told[0], "this program was told to end"
-            elif longest_s is not None and now - begun_s >= longest_s:
+            if signals:
+                stopping = now, 128 + signals[0], "this program was told to end"
+            elif longest_s is not None and now - started_s >= longest_s:
                 stopping = now, TOO_LONG, f"it has run for {longest_s:g} s"
-            elif keeper.left_s() <= grace_s + MARGIN_S:
-                stopping = now, STOPPED, f"task {task} is lost: {keeper.why_not}"
+            elif keeper.remaining_s() <= grace_s + KILL_MARGIN_S:
+                stopping = now, STOPPED, f"task {task} is lost: {keeper.reason}"
             if stopping is not None:
-                say(f"{command[0]} is told to stop: {stopping[2]}")
+                report(f"{command[0]} is told to stop: {stopping[2]}")
                 _signal(child, signal.SIGTERM)
-        elif now - stopping[0] >= grace_s:  # begun so early that its right lasts until then
+        elif now - stopping[0] >= grace_s:  # the SIGTERM was early enough for the lease to last until now
             _signal(child, signal.SIGKILL)
             child.wait()
-            say(f"{command[0]} was killed: it did not stop in time")
+            report(f"{command[0]} was killed: it did not stop in time")
             return KILLED if stopping[1] == STOPPED else stopping[1]
-        time.sleep(LOOKS_S)
-    _signal(child, signal.SIGKILL)  # what it has left behind
+        time.sleep(POLL_INTERVAL_S)
+    _signal(child, signal.SIGKILL)  # processes that the command has left running
     if stopping is not None:
         return stopping[1]
     code = child.returncode
--- a/cloverrouter/leases/store.py
+++ b/cloverrouter/leases/store.py
@@ -1,10 +1,10 @@
-"""Where a voter keeps its tokens over restarts: one SQLite file, with one figure for each task.
+"""Persistent storage of a voter's tokens: one SQLite file with one number for each task.
 
-What is stored is a ceiling: no token above it has been promised. It is raised by many at once, ahead of need
-and in a thread, so that a disk that is slow stands in nobody's way; a promise above it is not given yet.
+The stored number is a ceiling: no token above it has been granted. It is raised by many tokens at once, ahead
+of need and in a thread, so that a slow disk blocks nothing else; a grant above it has to wait.
 
-After a start tokens begin above the ceilings, and above the start's time of day: so an old copy of the file
-does no harm as long as that clock was not set back as well.
+After a start tokens begin above the ceilings and above the wall-clock time of the start, so an old copy of
+the file is harmless as long as that clock was not set back as well.
 """
 
 from __future__ import annotations
@@ -14,68 +14,71 @@
 from contextlib import closing
 from pathlib import Path
 
-FILE = "tokens.sqlite"
-VERSION = 1  # of its form, kept in `user_version`
-MOST_KEPT = 256  # tasks; past it their ceilings become one floor for all
-SLOW_S = 5.0  # for another process to let go of the file
+FILE_NAME = "tokens.sqlite"
+SCHEMA_VERSION = 1  # stored in `user_version`
+MAX_STORED_TASKS = 256  # with more, the ceilings are replaced by one floor for all tasks
+LOCK_TIMEOUT_S = 5.0  # for another process to release its lock on the file
 
 
 class StoreError(OSError):
-    """The file can't be used. Says what would be right."""
+    """The file can't be used. The message says what to do."""
 
 
 class Store:
-    """Raises `StoreError` when made. `ceilings` and `floor` are what it found; `raise_to` may take as long as
-    the disk does, and is not called from two threads at once."""
+    """The token file in `folder`, locked while it is open. Raises `StoreError` when created.
+
+    `ceilings` and `floor` hold what the file had at the start. `raise_ceiling` may block on the disk, and
+    must not be called from two threads at once.
+    """
 
     def __init__(self, folder: Path) -> None:
-        self._path = folder / FILE
+        self._path = folder / FILE_NAME
         self.floor = 0
         try:
             folder.mkdir(mode=0o700, parents=True, exist_ok=True)
             self._open()
         except (sqlite3.Error, OSError) as error:
-            if hasattr(self, "_base"):
-                self._base.close()  # or its lock would stay until it is collected
+            if hasattr(self, "_database"):
+                self._database.close()  # else the lock is kept until garbage collection
             if isinstance(error, StoreError):
                 raise
             right = "if it is damaged, move it away and start: tokens then begin above the time of day"
             raise StoreError(f"{self._path}: {error}; {right}") from error
-        self.thread = ThreadPoolExecutor(1, thread_name_prefix="tokens")
+        self.executor = ThreadPoolExecutor(1, thread_name_prefix="tokens")
 
     def _open(self) -> None:
-        # Danger: a second process on the same file would promise the same tokens.
-        self._base = sqlite3.connect(
-            self._path, timeout=SLOW_S, isolation_level=None, check_same_thread=False
+        # The exclusive lock keeps out a second process, which would grant the same tokens.
+        self._database = sqlite3.connect(
+            self._path, timeout=LOCK_TIMEOUT_S, isolation_level=None, check_same_thread=False
         )
-        self._base.execute("PRAGMA locking_mode = EXCLUSIVE")
-        self._base.execute("PRAGMA journal_mode = DELETE")
-        self._base.execute("PRAGMA synchronous = EXTRA")  # on the disk, its folder's entry, too
-        version = self._base.execute("PRAGMA user_version").fetchone()[0]
-        if version > VERSION:
+        self._database.execute("PRAGMA locking_mode = EXCLUSIVE")
+        self._database.execute("PRAGMA journal_mode = DELETE")
+        self._database.execute("PRAGMA synchronous = EXTRA")  # also syncs the directory entry
+        version = self._database.execute("PRAGMA user_version").fetchone()[0]
+        if version > SCHEMA_VERSION:
             right = "start the program that wrote it"
             raise StoreError(f"{self._path}: is of a later version, {version}; {right}")
-        self._base.execute("BEGIN EXCLUSIVE")
-        form = "(task TEXT PRIMARY KEY, ceiling INTEGER NOT NULL)"
-        self._base.execute(f"CREATE TABLE IF NOT EXISTS tokens {form}")
-        self._base.execute(f"PRAGMA user_version = {VERSION}")
-        with closing(self._base.execute("SELECT task, ceiling FROM tokens")) as rows:
+        self._database.execute("BEGIN EXCLUSIVE")
+        columns = "(task TEXT PRIMARY KEY, ceiling INTEGER NOT NULL)"
+        self._database.execute(f"CREATE TABLE IF NOT EXISTS tokens {columns}")
+        self._database.execute(f"PRAGMA user_version = {SCHEMA_VERSION}")
+        with closing(self._database.execute("SELECT task, ceiling FROM tokens")) as rows:
             self.ceilings: dict[str, int] = dict(rows)
-        if len(self.ceilings) > MOST_KEPT:
+        if len(self.ceilings) > MAX_STORED_TASKS:
             self.floor = max(self.ceilings.values())
             self.ceilings = {"": self.floor}
-            self._base.execute("DELETE FROM tokens")
-            self._base.execute("INSERT INTO tokens VALUES ('', ?)", (self.floor,))
+            self._database.execute("DELETE FROM tokens")
+            self._database.execute("INSERT INTO tokens VALUES ('', ?)", (self.floor,))
         self.floor = max(self.floor, self.ceilings.pop("", 0))
-        self._base.execute("COMMIT")
+        self._database.execute("COMMIT")
 
-    def raise_to(self, task: str, ceiling: int) -> None:
-        """On the disk when this returns. Raises OSError."""
+    def raise_ceiling(self, task: str, ceiling: int) -> None:
+        """Store a higher ceiling; it is on the disk when this returns. Raises OSError."""
         try:
-            self._base.execute("INSERT OR REPLACE INTO tokens VALUES (?, ?)", (task, ceiling))
+            self._database.execute("INSERT OR REPLACE INTO tokens VALUES (?, ?)", (task, ceiling))
         except sqlite3.Error as error:
             raise OSError(f"{self._path}: {error}") from error
 
     def close(self) -> None:
-        self.thread.shutdown(wait=True, cancel_futures=True)
-        self._base.close()
+        self.executor.shutdown(wait=True, cancel_futures=True)
+        self._database.close()
--- a/cloverrouter/leases/wire.py
+++ b/cloverrouter/leases/wire.py
@@ -1,15 +1,18 @@
-"""The leases' datagrams: what contenders and voters say, in at most 256 bytes each, as the platform's way
-between client proxies has it.
-
-Figures are big-endian, names as in `cloverrouter.datagrams`. Who asks is the datagram's sender in its life,
-and who answers is its sender: nobody can speak for another.
-
-    ask      number u64, task, seat u8, token u64, room u8
-    release  number u64, task, seat u8, token u64, held u8, heir (name or zero, life u64), its token u64
-    grant    life u64, number u64, task, seat u8, token u64, highest u64, waiting (as an heir)
-    deny     life u64, number u64, task, seat u8, token u64, highest u64,
-             left ms u32, busy u64, ahead u16, room u8
-    free     life u64, number u64, task, seat u8, highest u64
+"""Encoding of the lease messages between contenders and voters as datagrams of at most 256 bytes, the limit
+that the platform sets for traffic between client proxies.
+
+Integers are big-endian, names are encoded as in `cloverrouter.datagrams`. A request is attributed to the
+datagram's sender and its incarnation, an answer to the datagram's sender, so that no member can send in the
+name of another.
+
+    ask      number u64, task, seat u8, token u64, seat count u8
+    release  number u64, task, seat u8, token u64, held u8,
+             successor (name or one zero byte, incarnation u64), its token u64
+    grant    incarnation u64, number u64, task, seat u8, token u64, highest u64,
+             longest waiting (as a successor)
+    deny     incarnation u64, number u64, task, seat u8, token u64, highest u64,
+             retry after ms u32, busy seats u64, queue position u16, seat count u8
+    free     incarnation u64, number u64, task, seat u8, highest u64
 """
 
 from __future__ import annotations
@@ -17,9 +20,17 @@
 from enum import IntEnum
 
 from cloverrouter import datagrams
-from cloverrouter.datagrams import MOST_NAME, BadDatagram, Datagram, Form, Reader, Reason, named
-from cloverrouter.leases.words import Answer, Ask, Deny, Free, Grant, Release, Request, Who
-from cloverrouter.rights import Stamp
+from cloverrouter.datagrams import (
+    MAX_NAME_BYTES,
+    BadDatagram,
+    Datagram,
+    DatagramFormat,
+    FieldReader,
+    RejectReason,
+    encode_name,
+)
+from cloverrouter.leases.words import Answer, Ask, ContenderId, Deny, Free, Grant, Release, Request
+from cloverrouter.rights import RequestId
 
 
 class Kind(IntEnum):
@@ -31,85 +42,118 @@
     FREE = 7
 
 
-FLEET = Form(b"CRL1", 256, Kind)
+LEASE_FORM = DatagramFormat(b"CRL1", 256, Kind)
 REQUESTS = frozenset((Kind.ASK, Kind.RELEASE))
 ANSWERS = frozenset((Kind.GRANT, Kind.DENY, Kind.FREE))
 
 
-def _u(value: float, size: int = 8) -> bytes:
-    whole = max(0, min((1 << 8 * size) - 1, round(value)))
-    return whole.to_bytes(size, "big")
+def _uint(value: float, size: int = 8) -> bytes:
+    """Encode an unsigned integer of `size` bytes, rounded and clamped to its range."""
+    clamped = max(0, min((1 << 8 * size) - 1, round(value)))
+    return clamped.to_bytes(size, "big")
 
 
-def _who(who: Who | None) -> bytes:
-    return bytes(9) if who is None else named(who[0]) + _u(who[1])
+def _encode_contender(contender: ContenderId | None) -> bytes:
+    return bytes(9) if contender is None else encode_name(contender[0]) + _uint(contender[1])
 
 
-def _read_who(reader: Reader) -> Who | None:
-    size = reader.figure(1)
-    data, life = reader.take(size), reader.figure()
-    if size > MOST_NAME or not data.isascii() or not data.decode("ascii").isprintable():
-        raise BadDatagram(Reason.FORM)
-    return (data.decode("ascii"), life) if size else None
+def _read_contender(reader: FieldReader) -> ContenderId | None:
+    size = reader.read_uint(1)
+    data, incarnation = reader.read_bytes(size), reader.read_uint()
+    if size > MAX_NAME_BYTES or not data.isascii() or not data.decode("ascii").isprintable():
+        raise BadDatagram(RejectReason.FORM)
+    return (data.decode("ascii"), incarnation) if size else None
 
 
-def written(message: Request | Answer) -> tuple[Kind, bytes]:
-    """Raises ValueError for a name that can't be written."""
-    stamp, seat = message.stamp, _u(message.seat, 1)
-    task = named(message.task)
-    to = _u(stamp.life) + _u(stamp.number) + task + seat
+def encode_message(message: Request | Answer) -> tuple[Kind, bytes]:
+    """Return the kind and the payload of a message. Raises ValueError for a name that can't be encoded."""
+    request_id, seat = message.request_id, _uint(message.seat, 1)
+    task = encode_name(message.task)
+    answer_head = _uint(request_id.incarnation) + _uint(request_id.number) + task + seat
     match message:
         case Ask():
-            return Kind.ASK, _u(stamp.number) + task + seat + _u(message.token) + _u(message.room, 1)
+            return Kind.ASK, _uint(request_id.number) + task + seat + _uint(message.token) + _uint(
+                message.seat_count, 1
+            )
         case Release():
-            heir = _who(message.heir) + _u(message.heir_token)
+            successor = _encode_contender(message.successor) + _uint(message.successor_token)
             held = bytes([message.held])
-            return Kind.RELEASE, _u(stamp.number) + task + seat + _u(message.token) + held + heir
+            return Kind.RELEASE, _uint(request_id.number) + task + seat + _uint(
+                message.token
+            ) + held + successor
         case Grant():
-            return Kind.GRANT, to + _u(message.token) + _u(message.highest) + _who(message.waiting)
+            return Kind.GRANT, answer_head + _uint(message.token) + _uint(
+                message.highest
+            ) + _encode_contender(message.longest_waiting)
         case Deny():
-            figures = _u(message.left_ms, 4) + _u(message.busy) + _u(message.ahead, 2) + _u(message.room, 1)
-            return Kind.DENY, to + _u(message.token) + _u(message.highest) + figures
+            details = (
+                _uint(message.retry_after_ms, 4)
+                + _uint(message.busy_seats)
+                + _uint(message.queue_position, 2)
+                + _uint(message.seat_count, 1)
+            )
+            return Kind.DENY, answer_head + _uint(message.token) + _uint(message.highest) + details
         case Free():
-            return Kind.FREE, to + _u(message.highest)
+            return Kind.FREE, answer_head + _uint(message.highest)
 
 
-def request_of(told: Datagram) -> Request:
-    """Raises `BadDatagram`."""
-    reader = Reader(told.payload)
-    stamp = Stamp(told.sender, told.life, reader.figure())
-    task, seat, token = reader.name(), reader.figure(1), reader.figure()
+def decode_request(datagram: Datagram) -> Request:
+    """Decode a contender's request. Raises `BadDatagram`."""
+    reader = FieldReader(datagram.payload)
+    request_id = RequestId(datagram.sender, datagram.life, reader.read_uint())
+    task, seat, token = reader.read_name(), reader.read_uint(1), reader.read_uint()
     message: Request
-    if told.kind == Kind.ASK:
-        message = Ask(stamp, task, seat, token, reader.figure(1))
-    elif told.kind == Kind.RELEASE:
-        held = reader.figure(1)
+    if datagram.kind == Kind.ASK:
+        message = Ask(request_id, task, seat, token, reader.read_uint(1))
+    elif datagram.kind == Kind.RELEASE:
+        held = reader.read_uint(1)
         if held > 1:
-            raise BadDatagram(Reason.FORM)
-        message = Release(stamp, task, seat, token, bool(held), _read_who(reader), reader.figure())
+            raise BadDatagram(RejectReason.FORM)
+        message = Release(
+            request_id, task, seat, token, bool(held), _read_contender(reader), reader.read_uint()
+        )
     else:
-        raise BadDatagram(Reason.FORM)
-    reader.end()
+        raise BadDatagram(RejectReason.FORM)
+    reader.expect_end()
     return message
 
 
-def answer_of(told: Datagram, to: str) -> Answer:
-    """What a voter says to the member of that name. Raises `BadDatagram`."""
-    reader = Reader(told.payload)
-    stamp = Stamp(to, reader.figure(), reader.figure())
-    task, seat = reader.name(), reader.figure(1)
+def decode_answer(datagram: Datagram, to: str) -> Answer:
+    """Decode a voter's answer to the member named `to`. Raises `BadDatagram`."""
+    reader = FieldReader(datagram.payload)
+    request_id = RequestId(to, reader.read_uint(), reader.read_uint())
+    task, seat = reader.read_name(), reader.read_uint(1)
     message: Answer
-    match told.kind:
+    match datagram.kind:
         case Kind.GRANT:
-            token, highest = reader.figure(), reader.figure()
-            message = Grant(told.sender, stamp, task, seat, token, highest, _read_who(reader))
+            token, highest = reader.read_uint(), reader.read_uint()
+            message = Grant(datagram.sender, request_id, task, seat, token, highest, _read_contender(reader))
         case Kind.DENY:
-            token, highest, left_ms = reader.figure(), reader.figure(), float(reader.figure(4))
-            busy, ahead, room = reader.figure(), reader.figure(2), reader.figure(1)
-            message = Deny(told.sender, stamp, task, seat, token, highest, left_ms, busy, ahead, room)
+            token, highest, retry_after_ms = (
+                reader.read_uint(),
+                reader.read_uint(),
+                float(reader.read_uint(4)),
+            )
+            busy_seats, queue_position, seat_count = (
+                reader.read_uint(),
+                reader.read_uint(2),
+                reader.read_uint(1),
+            )
+            message = Deny(
+                datagram.sender,
+                request_id,
+                task,
+                seat,
+                token,
+                highest,
+                retry_after_ms,
+                busy_seats,
+                queue_position,
+                seat_count,
+            )
         case Kind.FREE:
-            message = Free(told.sender, stamp, task, seat, reader.figure())
+            message = Free(datagram.sender, request_id, task, seat, reader.read_uint())
         case _:
-            raise BadDatagram(Reason.FORM)
-    reader.end()
+            raise BadDatagram(RejectReason.FORM)
+    reader.expect_end()
     return message
--- a/cloverrouter/leases/words.py
+++ b/cloverrouter/leases/words.py
@@ -1,73 +1,84 @@
-"""What contenders and voters say to each other about the seats of named tasks."""
+"""Messages between contenders and voters about the seats of named tasks.
+
+A task has a fixed number of seats, and each seat has at most one holder at a time.
+"""
 
 from __future__ import annotations
 
-from cloverrouter.rights import Stamp
+from cloverrouter.rights import RequestId
 from cloverrouter.values import Value
 
-MOST_ROOM = 64  # seats of a task
-Who = tuple[str, int]  # a box in one life: a process that was started anew is another contender
+MAX_SEATS = 64  # of a task
+ContenderId = tuple[str, int]  # member name and incarnation: a restarted process is another contender
 
 
-def who(stamp: Stamp) -> Who:
-    return stamp.box, stamp.life
+def contender_id(request_id: RequestId) -> ContenderId:
+    return request_id.member, request_id.incarnation
 
 
 class Ask(Value):
-    """For a seat (from 0), under a token that nobody has had; or, under its own, for more time on it."""
+    """Request for a seat (from 0) under a token that no contender has had; or, under its own token, a
+    holder's request for renewal."""
 
-    stamp: Stamp
+    request_id: RequestId
     task: str
     seat: int
     token: int
-    room: int  # as many seats the task has, by this contender's settings
+    seat_count: int  # of the task, by this contender's settings
 
 
 class Release(Value):
-    """Who says it has stopped to act, under this token and all that it had before. `held`: it held the seat,
-    and gives back more than a few votes; `heir`: who is to have it instead, under `heir_token`."""
+    """Notice that the sender has stopped acting under this token and all its earlier ones.
+
+    `held`: the sender held the seat, so this returns a quorum rather than a few votes. `successor`: the
+    contender that is to get the seat next, under `successor_token`.
+    """
 
-    stamp: Stamp
+    request_id: RequestId
     task: str
     seat: int
     token: int
     held: bool = False
-    heir: Who | None = None
-    heir_token: int = 0
+    successor: ContenderId | None = None
+    successor_token: int = 0
 
 
 class Grant(Value):
-    """`voter` promises itself, counted from when the request with this stamp was sent."""
+    """`voter` grants its vote; the holder counts the duration from when it sent the request."""
 
     voter: str
-    stamp: Stamp
+    request_id: RequestId
     task: str
     seat: int
     token: int
-    highest: int  # token that it has promised for this task, or, where one waits, was asked for
-    waiting: Who | None = None  # the one that has waited longest for the task
+    highest: int  # token granted for this task or, while contenders wait, requested for it
+    longest_waiting: ContenderId | None = None  # first in the voter's queue for the task
 
 
 class Deny(Value):
-    """`left_ms`: after so long it is worth to ask again; `busy`: a bit for each seat that is somebody's."""
+    """`voter` refuses its vote. It is worth asking again after `retry_after_ms`. `busy_seats` is a bit mask
+    of the seats with a holder."""
 
     voter: str
-    stamp: Stamp
+    request_id: RequestId
     task: str
     seat: int
     token: int
     highest: int
-    left_ms: float
-    busy: int
-    ahead: int  # so many wait for longer
-    room: int  # of the task, as its holders see it; another than asked for is an error of the settings
+    retry_after_ms: float
+    busy_seats: int
+    queue_position: int  # number of contenders that have waited longer
+    seat_count: (
+        int  # of the task, as its holders have it; one that differs from the request's is a settings error
+    )
 
 
 class Free(Value):
-    """To who has waited longest: a seat is free. `stamp` is that of its last request."""
+    """Notice to the contender that has waited longest that a seat is free. `request_id` is that of its last
+    request."""
 
     voter: str
-    stamp: Stamp
+    request_id: RequestId
     task: str
     seat: int
     highest: int
--- a/cloverrouter/logs/__init__.py
+++ b/cloverrouter/logs/__init__.py
@@ -1,1 +1,1 @@
-"""Structured logs: a line of JSON for each event and each line of the log, with stable names and fields."""
+"""Structured logs: one JSON line per event and log record, with stable names and fields."""
--- a/cloverrouter/logs/direction.py
+++ b/cloverrouter/logs/direction.py
@@ -1,5 +1,7 @@
-"""The log's entry for the composition root: JSON lines in place of text, by msgspec, on the standard
-library's logging. See docs/logs.md for the names and fields."""
+"""The extension that writes the log as JSON lines in place of text.
+
+It formats the records of the standard library's logging with msgspec. See docs/logs.md for names and fields.
+"""
 
 from __future__ import annotations
 
@@ -12,18 +14,22 @@
 from cloverrouter.seams import Core, Direction, Json
 from cloverrouter.site.settings import Log
 
-MOST_TEXT = 8192  # characters of a text; what is cut ends with an ellipsis
-EVENTS = "cloverrouter.event"  # the logger of events; their names and fields are in the record
+MAX_TEXT_CHARS = 8192  # longer texts are truncated and end with an ellipsis
+EVENTS = (
+    "cloverrouter.event"  # logger of events; the name and fields of an event are attributes of its record
+)
 encoder = msgspec.json.Encoder(enc_hook=str)
 
 
-class Line(msgspec.Struct, omit_defaults=True):
-    """What every line has; an event's own fields are in `fields`."""
+class LogLine(msgspec.Struct, omit_defaults=True):
+    """One line of the log; the fields of an event are in `fields`."""
 
     ts: float  # Unix time, s
-    boot_s: float  # CLOCK_BOOTTIME, one for all processes of a machine, which no setting of a clock moves
+    boot_s: (
+        float  # CLOCK_BOOTTIME, s: shared by all processes of a machine and unaffected by clock adjustments
+    )
     proxy: str
-    life: str  # of the process: another with each start
+    life: str  # identifies the process; a new value with each start
     level: str
     event: str
     logger: str = ""
@@ -32,12 +38,15 @@
     fields: Json = {}
 
 
-def cut(text: str) -> str:
-    return text if len(text) <= MOST_TEXT else text[: MOST_TEXT - 1] + "\u2026"
+def truncate(text: str) -> str:
+    return text if len(text) <= MAX_TEXT_CHARS else text[: MAX_TEXT_CHARS - 1] + "\u2026"
+
 
+class JsonFormatter(logging.Formatter):
+    """Formats log records as JSON lines.
 
-class Formatter(logging.Formatter):
-    """Total: what can't be formatted is told as such, and no record is lost for it."""
+    Never raises: a record that can't be formatted is written as a line that says so, not lost.
+    """
 
     def __init__(self, proxy: str, life: str) -> None:
         super().__init__()
@@ -47,37 +56,39 @@
         event, fields = getattr(record, "event", ""), getattr(record, "fields", {})
         try:
             text = "" if event else record.getMessage()
-        except (TypeError, ValueError) as wrong:
-            text = f"{record.msg!r} does not fit its arguments: {wrong}"
+        except (TypeError, ValueError) as failure:
+            text = f"{record.msg!r} does not fit its arguments: {failure}"
         error = self.formatException(record.exc_info) if record.exc_info else ""
         level, logger = record.levelname, "" if event else record.name
-        # The boot clock of when it is written, which is at once: handlers have no queue.
-        said = cut(text), cut(error), fields
-        line = Line(record.created, now_s(), self._proxy, self._life, level, event or "log", logger, *said)
+        # The boot clock is read here, just after the record was created: handlers have no queue.
+        content = truncate(text), truncate(error), fields
+        line = LogLine(
+            record.created, now_s(), self._proxy, self._life, level, event or "log", logger, *content
+        )
         try:
             return encoder.encode(line).decode()
-        except (TypeError, ValueError, RecursionError) as wrong:
-            line.fields = {"unwritable": f"{type(wrong).__name__}: {cut(str(wrong))}"}
+        except (TypeError, ValueError, RecursionError) as failure:
+            line.fields = {"unwritable": f"{type(failure).__name__}: {truncate(str(failure))}"}
             return encoder.encode(line).decode()
 
 
 class Entry(Direction):
-    """The first of the directions, so that it hears all events."""
+    """The log extension, set up before all others so that it receives all events."""
 
     table: Log
 
     def __init__(self, core: Core, table: Log) -> None:
         super().__init__(core, table)
-        formatter = Formatter(core.told.name, core.boot)
-        self._before = [(handler, handler.formatter) for handler in logging.getLogger().handlers]
-        for handler, _ in self._before:
+        formatter = JsonFormatter(core.config.name, core.boot)
+        self._original_formatters = [(handler, handler.formatter) for handler in logging.getLogger().handlers]
+        for handler, _ in self._original_formatters:
             handler.setFormatter(formatter)
-        core.hear.append(self._event)
+        core.event_listeners.append(self._log_event)
 
-    def _event(self, kind: str, what: Json) -> None:
-        extra: dict[str, Any] = {"event": kind, "fields": what}
+    def _log_event(self, kind: str, fields: Json) -> None:
+        extra: dict[str, Any] = {"event": kind, "fields": fields}
         logging.getLogger(EVENTS).info("", extra=extra)
 
     async def close(self) -> None:
-        for handler, formatter in self._before:
+        for handler, formatter in self._original_formatters:
             handler.setFormatter(formatter)
--- a/cloverrouter/management/__init__.py
+++ b/cloverrouter/management/__init__.py
@@ -1,4 +1,7 @@
-"""Where operators call: readiness, figures, hosts taken out. Imported only where a place for it is named."""
+"""The management interface for operators: readiness, metrics and banned hosts.
+
+Imported only if an address for it is configured.
+"""
 
 from cloverrouter.management.shell import Management
 
--- a/cloverrouter/management/bans.py
+++ b/cloverrouter/management/bans.py
@@ -1,9 +1,10 @@
-"""Hosts that operators took out: nothing more to them until they are given back, whatever the list says.
+"""Hosts that operators banned: they get no new requests until the ban is lifted, whatever discovery lists.
 
-Rules only. An `Overlay` of drains does the laying over; here is what differs from an operator's drain on
-the console: an id that was listed once may be taken out while it is absent, there is no guard on the last
-host, and a host given back is taken to be cold. A ban is a `Drain` without an end; one with an end was given
-back then. Times are Unix milliseconds, as two processes share them.
+Rules only, no I/O. `Overlay` applies the bans to the lists of discovery as drains. Bans differ from a drain
+by the console in this: a host that was listed once may be banned while it is absent, the last host may be
+banned, too, and a host is treated as cold when its ban is lifted. A ban is a `Drain` without an end; a lifted
+ban is one whose `until_ms` is the time at which it was lifted. Times are Unix milliseconds, since processes
+share them.
 """
 
 from __future__ import annotations
@@ -15,90 +16,94 @@
 from cloverrouter.roster.overlay import Drain, Overlay, UnknownServer
 from cloverrouter.values import replace
 
-MOST_REMEMBERED = 10_000  # ids; a fleet that renames its hosts must not grow this without end
-KEPT_MS = 600_000.0  # how long a host given back is remembered as such
-BY = "management"
+MAX_KNOWN_IDS = 10_000  # bounds memory in a fleet that keeps renaming its hosts
+LIFTED_KEPT_MS = 600_000.0  # for how long a lifted ban is kept
+BANNED_BY = "management"
 
 
 class Bans(Overlay):
     def __init__(self, clock: UnixClock) -> None:
-        """`clock` turns Unix times into those of the list's starts."""
+        """`clock` converts Unix times to the monotonic times in which lists give the start of a host."""
         super().__init__()
         self._clock = clock
-        self._ever: dict[str, None] = {}  # ids that were listed, the oldest first
-        self.returned: dict[str, Drain] = {}  # given back; `until_ms` is when
+        self._known_ids: dict[str, None] = {}  # ids that were ever listed, least recently listed first
+        self.lifted: dict[str, Drain] = {}  # recently lifted bans by host; `until_ms` is the time of lifting
 
     def listed(self, kind: ListKind, found: HostList) -> HostList:
         for entry in found.entries:
-            self._ever.pop(entry.listed.name, None)
-            self._ever[entry.listed.name] = None
-        while len(self._ever) > MOST_REMEMBERED:
-            del self._ever[next(iter(self._ever))]
+            self._known_ids.pop(entry.listed.name, None)
+            self._known_ids[entry.listed.name] = None
+        while len(self._known_ids) > MAX_KNOWN_IDS:
+            del self._known_ids[next(iter(self._known_ids))]
         return super().listed(kind, found)
 
-    def _plain(self) -> bool:
-        return super()._plain() and not self.returned
+    def _forwards_unchanged(self) -> bool:
+        return super()._forwards_unchanged() and not self.lifted
 
     def _overlaid(self, entry: HostEntry) -> HostEntry:
         entry = super()._overlaid(entry)
-        back = self.returned.get(entry.listed.name)
-        if back is None or back.until_ms is None or entry.listed.state is not EndpointState.READY:
+        lifted = self.lifted.get(entry.listed.name)
+        if lifted is None or lifted.until_ms is None or entry.listed.state is not EndpointState.READY:
             return entry
-        # Danger: taken out to be restarted, it comes back cold; as long as the list still tells of the old
-        # process it would be taken for warm, and be pushed over.
-        started_ms, out_ms = entry.listed.started_ms, self._clock.monotonic_ms(back.since_ms)
-        if started_ms is not None and out_ms is not None and started_ms >= out_ms:
+        # A host is usually banned for a restart and comes back cold. While the list still gives the start of
+        # the old process, the host would count as warm and be overloaded.
+        started_ms, banned_ms = entry.listed.started_ms, self._clock.monotonic_ms(lifted.since_ms)
+        if started_ms is not None and banned_ms is not None and started_ms >= banned_ms:
             return entry
-        back_ms = self._clock.monotonic_ms(back.until_ms)
-        return HostEntry(replace(entry.listed, started_ms=back_ms), entry.address)
+        lifted_ms = self._clock.monotonic_ms(lifted.until_ms)
+        return HostEntry(replace(entry.listed, started_ms=lifted_ms), entry.address)
 
-    def take_out(self, host: str, now_ms: float) -> HostList | None:
-        """What the module must hear; None: nothing.
+    def ban(self, host: str, now_ms: float) -> HostList | None:
+        """Ban a host. Returns the update for the decision module, or None if nothing changed for it.
 
         Raises `UnknownServer` for an id that was never listed, and `TooManyDrains`.
         """
         self._check_known(host)
-        return self._put(Drain(host, BY, now_ms))
+        return self._apply(Drain(host, BANNED_BY, now_ms))
 
-    def give_back(self, host: str, now_ms: float) -> HostList | None:
-        """One call ends the ban, however often the host was taken out. Raises `UnknownServer`."""
+    def lift(self, host: str, now_ms: float) -> HostList | None:
+        """Lift the ban of a host, however often it was banned. Returns as `ban`. Raises `UnknownServer`."""
         self._check_known(host)
         ban = self.drains.get(host)
-        return None if ban is None else self._put(replace(ban, until_ms=now_ms))
-
-    def take_over(self, said: Iterable[Drain], now_ms: float) -> HostList | None:
-        """What another process wrote: all of the bans, and those given back."""
-        before = {name: self.state(name) for name in self.told}
-        self.drains = {d.server: d for d in said if d.until_ms is None}
-        self.returned = {
-            d.server: d for d in said if d.until_ms is not None and now_ms - d.until_ms < KEPT_MS
+        return None if ban is None else self._apply(replace(ban, until_ms=now_ms))
+
+    def load_shared(self, records: Iterable[Drain], now_ms: float) -> HostList | None:
+        """Replace the bans and lifted bans by those that another process wrote. Returns as `ban`."""
+        before = {name: self.state(name) for name in self.discovered}
+        self.drains = {d.server: d for d in records if d.until_ms is None}
+        self.lifted = {
+            d.server: d for d in records if d.until_ms is not None and now_ms - d.until_ms < LIFTED_KEPT_MS
         }
-        return self._changes(before)
+        return self._changed_entries(before)
 
-    def all(self, now_ms: float) -> list[Drain]:
-        """The bans, and the hosts given back of late, as they are written down."""
-        back = [d for d in self.returned.values() if d.until_ms is not None and now_ms - d.until_ms < KEPT_MS]
-        return [*self.drains.values(), *back]
+    def records(self, now_ms: float) -> list[Drain]:
+        """The bans and the recently lifted ones, as they are stored."""
+        lifted = [
+            d for d in self.lifted.values() if d.until_ms is not None and now_ms - d.until_ms < LIFTED_KEPT_MS
+        ]
+        return [*self.drains.values(), *lifted]
 
     def _check_known(self, host: str) -> None:
-        if host not in self.drains and host not in self._ever:
+        if host not in self.drains and host not in self._known_ids:
             raise UnknownServer(host)
 
-    def _put(self, said: Drain) -> HostList | None:
-        before = {said.server: self.state(said.server)}
-        if said.until_ms is None:
-            self.returned.pop(said.server, None)
-            if said.server in self.drains:
-                return None  # said again: since when it is out stays true
-            self._check_room()
-            self.drains[said.server] = said
+    def _apply(self, ban: Drain) -> HostList | None:
+        before = {ban.server: self.state(ban.server)}
+        if ban.until_ms is None:
+            self.lifted.pop(ban.server, None)
+            if ban.server in self.drains:
+                return None  # a repeated ban keeps the time of the first
+            self._check_drain_limit()
+            self.drains[ban.server] = ban
         else:
-            self.drains.pop(said.server, None)
-            self.returned[said.server] = said
-        return self._changes(before)
-
-    def _changes(self, before: dict[str, str]) -> HostList | None:
-        changed = [name for name, state in before.items() if name in self.told and self.state(name) != state]
+            self.drains.pop(ban.server, None)
+            self.lifted[ban.server] = ban
+        return self._changed_entries(before)
+
+    def _changed_entries(self, before: dict[str, str]) -> HostList | None:
+        changed = [
+            name for name, state in before.items() if name in self.discovered and self.state(name) != state
+        ]
         if not changed:
             return None
-        return HostList(self.version, False, tuple(self._overlaid(self.told[name]) for name in changed))
+        return HostList(self.version, False, tuple(self._overlaid(self.discovered[name]) for name in changed))
--- a/cloverrouter/management/calls.py
+++ b/cloverrouter/management/calls.py
@@ -1,4 +1,7 @@
-"""Operators' calls: bytes to one typed call, and a word back. Any bytes give a call, an error, or not yet."""
+"""Parse operators' HTTP/1.1 calls into typed calls, and encode the responses.
+
+Any input is a complete call, an incomplete one, or a `CallError`.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +12,7 @@
 
 import httptools
 
-MOST_BYTES = 8192  # of a call with its body, if it has one
+MAX_CALL_BYTES = 8192  # head and body
 REASONS = {
     200: b"OK",
     400: b"Bad Request",
@@ -19,47 +22,50 @@
     413: b"Content Too Large",
     503: b"Service Unavailable",
 }
-HOST = re.compile(r"/hosts/([^/]+)/(maint|ready)")
+HOST_PATH = re.compile(r"/hosts/([^/]+)/(maint|ready)")
 
 
-class Word(Enum):
+class CallKind(Enum):
     HEALTH = "health"
-    FIGURES = "figures"
-    TAKE_OUT = "maint"
-    GIVE_BACK = "ready"
+    STATS = "figures"
+    BAN = "maint"
+    LIFT = "ready"
 
 
 @dataclass(frozen=True, slots=True)
 class OperatorCall:
-    word: Word
+    kind: CallKind
     host: str = ""
 
 
 class CallError(Exception):
-    """`status`: what the caller is answered; the text says what would be right."""
+    """An invalid call. `status` is the HTTP status of the response; the text says what is valid."""
 
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
         self.status = status
 
 
-def understand(method: str, target: str) -> OperatorCall:
-    """Raises `CallError`."""
+def parse_call(method: str, target: str) -> OperatorCall:
+    """Return the call for a request line. Raises `CallError` with status 404 or 405."""
     path = target.partition("?")[0]
-    found = HOST.fullmatch(path)
-    if found is not None:
-        call, right = OperatorCall(Word(found[2]), unquote(found[1])), "PUT"
+    host_match = HOST_PATH.fullmatch(path)
+    if host_match is not None:
+        call, expected_method = OperatorCall(CallKind(host_match[2]), unquote(host_match[1])), "PUT"
     elif path in ("/healthcheck", "/stats"):
-        call, right = OperatorCall(Word.HEALTH if path == "/healthcheck" else Word.FIGURES), "GET"
+        call, expected_method = (
+            OperatorCall(CallKind.HEALTH if path == "/healthcheck" else CallKind.STATS),
+            "GET",
+        )
     else:
         raise CallError(404, "known are /healthcheck, /stats, /hosts/ID/maint and /hosts/ID/ready")
-    if method != right:
-        raise CallError(405, f"{path} is called with {right}")
+    if method != expected_method:
+        raise CallError(405, f"{path} is called with {expected_method}")
     return call
 
 
-class Reader:
-    """Takes in what comes on one connection; a call is whole with its last byte."""
+class CallParser:
+    """Parses the bytes of one connection; a call is complete with the last byte of its body."""
 
     def __init__(self) -> None:
         self._parser = httptools.HttpRequestParser(self)
@@ -68,10 +74,10 @@
         self._complete = False
 
     def feed(self, data: bytes) -> OperatorCall | None:
-        """The call, once it is whole. Raises `CallError`."""
+        """Parse `data`. Returns the call, or None while it is incomplete. Raises `CallError`."""
         self._bytes += len(data)
-        if self._bytes > MOST_BYTES:
-            raise CallError(413, f"a call has {MOST_BYTES} bytes at most")
+        if self._bytes > MAX_CALL_BYTES:
+            raise CallError(413, f"a call has {MAX_CALL_BYTES} bytes at most")
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
@@ -79,9 +85,9 @@
                 raise CallError(400, f"not HTTP/1.1: {error}") from error
         if not self._complete:
             return None
-        return understand(self._parser.get_method().decode("latin-1"), self._target.decode("latin-1"))
+        return parse_call(self._parser.get_method().decode("latin-1"), self._target.decode("latin-1"))
 
-    # httptools
+    # Callbacks of httptools
 
     def on_url(self, url: bytes) -> None:
         if not self._complete:
@@ -91,7 +97,7 @@
         self._complete = True
 
 
-def answer(status: int, body: bytes) -> bytes:
+def encode_response(status: int, body: bytes) -> bytes:
     return (
         b"HTTP/1.1 %d %b\r\nContent-Type: text/plain\r\nContent-Length: %d\r\nConnection: close\r\n\r\n%b"
         % (
--- a/cloverrouter/management/figures.py
+++ b/cloverrouter/management/figures.py
@@ -1,7 +1,7 @@
-"""The figures that operators read: requests by class and end, and what the proxy holds now. No I/O.
+"""The metrics for operators: requests by class and result, and the current state of the proxy. No I/O.
 
-Fills the observer seam; what a request costs here is three additions. Wording: statsd lines, `name:value|c`
-for what only grows and `name:value|g` for what is so now. Each process counts from 0.
+`Figures` is an observer; it costs three additions per request. The text format is that of statsd:
+`name:value|c` for counters and `name:value|g` for gauges. The counters of each process start at 0.
 """
 
 from __future__ import annotations
@@ -9,72 +9,85 @@
 from collections import Counter
 from collections.abc import Iterable, Mapping, Sequence
 
-from cloverrouter.interface import BalancerView, EndpointState, EndpointView, Outcome, Why
+from cloverrouter.interface import BalancerView, EndpointState, EndpointView, GiveUpReason, Outcome
 from cloverrouter.proxy.messages import Call
-from cloverrouter.proxy.observer import Final, Tried
+from cloverrouter.proxy.observer import AttemptResult, RequestResult
 
 PREFIX = "edge_proxy"
-LEFT_OUT_MS = 500.0  # still to be waited for
-UNWRITTEN = (Outcome.CONNECT_FAILED, Outcome.NOT_SENT)  # its last byte never went out
+MIN_EXCLUSION_MS = 500.0  # remaining time out of use from which a host counts as excluded
+NOT_WRITTEN = (Outcome.CONNECT_FAILED, Outcome.NOT_SENT)  # the request's last byte was not written
 
 
 class Figures:
-    """What is counted, and the gauges as they are asked for."""
+    """Counts requests and attempts; reads the gauges when the text is requested."""
 
     def __init__(self) -> None:
-        self.reloads_ok = self.reloads_failed = 0  # files taken, and turned down, at SIGHUP
-        self.finals: Counter[tuple[str, Final]] = Counter()
-        self.attempts: Counter[str] = Counter()  # written whole, and over
+        self.reloads_ok = self.reloads_failed = 0  # configuration files accepted and rejected at SIGHUP
+        self.results: Counter[tuple[str, RequestResult]] = Counter()
+        self.attempts: Counter[str] = Counter()  # by class: fully written and ended
 
-    # proxy.observer.Observer
+    # Methods of proxy.observer.Observer
 
-    def taken(self, call: Call) -> None:
+    def request_accepted(self, call: Call) -> None:
         pass
 
-    def tried(self, call: Call, tried: Tried, report: tuple[float, ...] | None) -> None:
-        if tried.outcome not in UNWRITTEN:
+    def attempt_ended(self, call: Call, tried: AttemptResult, report: tuple[float, ...] | None) -> None:
+        if tried.outcome not in NOT_WRITTEN:
             self.attempts[call.class_name] += 1
 
-    def ended(
-        self, call: Call, final: Final, why: Why | None, trail: Sequence[Tried], took_ms: float
+    def request_ended(
+        self,
+        call: Call,
+        final: RequestResult,
+        why: GiveUpReason | None,
+        trail: Sequence[AttemptResult],
+        took_ms: float,
     ) -> None:
-        self.finals[call.class_name, final] += 1
+        self.results[call.class_name, final] += 1
 
-    def turned_away(self, status: int) -> None:
+    def invalid_request_rejected(self, status: int) -> None:
         pass
 
-    def not_taken(self, call: Call, why: str) -> None:
-        self.finals[call.class_name, Final.REFUSED] += 1
+    def request_refused_early(self, call: Call, why: str) -> None:
+        self.results[call.class_name, RequestResult.REFUSED] += 1
 
-    def said(self, text: str) -> None:
+    def balancer_logged(self, text: str) -> None:
         pass
 
-    # For operators
+    # Output
 
     def text(
-        self, classes: Iterable[str], out: Mapping[str, int], in_flight: int, view: BalancerView
+        self, classes: Iterable[str], open_attempts: Mapping[str, int], in_flight: int, view: BalancerView
     ) -> bytes:
-        """`classes`: the settings' own, told from the start on; `out`: attempts out and written, by class."""
+        """The metrics as statsd lines.
+
+        `classes`: configured classes, reported even before their first request; `open_attempts`: attempts by
+        class that are fully written and have not ended.
+        """
         lines = []
-        seen = {name for name, _ in self.finals}
-        for name in sorted({*classes, *seen, *self.attempts}):
-            place = f"{PREFIX}.requests.{name}"
-            for final in (Final.SERVED, Final.REFUSED, Final.FAILED):
-                lines.append(f"{place}.{final.value}:{self.finals[name, final]}|c")
-            lines.append(f"{place}.attempts:{self.attempts[name] + out.get(name, 0)}|c")
+        observed = {name for name, _ in self.results}
+        for name in sorted({*classes, *observed, *self.attempts}):
+            name_prefix = f"{PREFIX}.requests.{name}"
+            for final in (RequestResult.SERVED, RequestResult.REFUSED, RequestResult.FAILED):
+                lines.append(f"{name_prefix}.{final.value}:{self.results[name, final]}|c")
+            lines.append(f"{name_prefix}.attempts:{self.attempts[name] + open_attempts.get(name, 0)}|c")
         listed = [e for e in view.endpoints if e.state is not EndpointState.GONE]
-        avoided = [e for e in listed if e.state is not EndpointState.READY or _left_out(e)]
+        excluded = [e for e in listed if e.state is not EndpointState.READY or _is_excluded(e)]
         lines += [
             f"{PREFIX}.in_flight:{in_flight}|g",
             f"{PREFIX}.hosts_known:{len(listed)}|g",
-            f"{PREFIX}.hosts_excluded:{len(avoided)}|g",
+            f"{PREFIX}.hosts_excluded:{len(excluded)}|g",
             f"{PREFIX}.reloads_ok:{self.reloads_ok}|c",
             f"{PREFIX}.reloads_failed:{self.reloads_failed}|c",
         ]
         return "".join(f"{line}\n" for line in lines).encode()
 
 
-def _left_out(endpoint: EndpointView) -> bool:
-    """One that rests between two answers, is just full, or had a mishap or two, is in use."""
-    paused = endpoint.paused_ms >= LEFT_OUT_MS and endpoint.failures >= 2
-    return paused or endpoint.doubted_ms >= LEFT_OUT_MS
+def _is_excluded(endpoint: EndpointView) -> bool:
+    """Whether failures or a suspicion keep an endpoint out of use for at least `MIN_EXCLUSION_MS`.
+
+    An endpoint that pauses with fewer than two failures, such as between two responses or because it is
+    full, counts as in use, and so does one whose pause is shorter.
+    """
+    paused = endpoint.paused_ms >= MIN_EXCLUSION_MS and endpoint.failures >= 2
+    return paused or endpoint.suspected_ms >= MIN_EXCLUSION_MS
--- a/cloverrouter/management/file.py
+++ b/cloverrouter/management/file.py
@@ -1,4 +1,4 @@
-"""The bans in a folder that two processes share: the store of drains, read and written under one lock."""
+"""The file of bans that the processes of one proxy share, read and written under a file lock."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 from cloverrouter.roster.overlay import Drain
 from cloverrouter.roster.store import Store
 
-FOLDER = "cloverrouter-bans"
-Stamp = tuple[int, int, int]  # what tells one writing of the file from another: time, inode, size
+FOLDER_NAME = "cloverrouter-bans"
+FileStamp = tuple[int, int, int]  # identifies a version of the file: mtime in ns, inode, size
 
 
-class Shared:
-    """Raises OSError where the folder can't be used."""
+class SharedBanFile:
+    """The store of bans in a subfolder of `directory`. Raises OSError if the folder can't be used."""
 
     def __init__(self, directory: Path) -> None:
-        self._folder = directory / FOLDER
+        self._folder = directory / FOLDER_NAME
         self._folder.mkdir(mode=0o700, exist_ok=True)
         self._store = Store(self._folder)
 
@@ -32,23 +32,24 @@
         finally:
             os.close(descriptor)
 
-    def stamp(self) -> Stamp | None:
-        """Changes with every writing; None while there is no file."""
+    def stamp(self) -> FileStamp | None:
+        """The version of the file, which changes with every write; None if there is no file."""
         try:
-            found = self._store.path.stat()
+            status = self._store.path.stat()
         except FileNotFoundError:
             return None
-        return found.st_mtime_ns, found.st_ino, found.st_size
+        return status.st_mtime_ns, status.st_ino, status.st_size
 
     def load(self) -> tuple[list[Drain], str | None]:
-        """What is written, and where a file that can't be read was set aside."""
+        """The stored bans, and the path to which a file that can't be read was moved, or None."""
         with self._locked():
             return self._store.load()
 
-    def change(self, edit: Callable[[list[Drain]], list[Drain]]) -> None:
-        """Write what `edit` makes of what is written.
+    def update(self, edit: Callable[[list[Drain]], list[Drain]]) -> None:
+        """Replace the stored bans by the result of `edit`.
 
-        Danger: without the lock, of two processes that change it at once one would undo the other's change.
+        The lock covers the read and the write; otherwise, of two processes that update the file at once, one
+        would overwrite the other's change.
         """
         with self._locked():
             self._store.save(edit(self._store.load()[0]))
--- a/cloverrouter/management/shell.py
+++ b/cloverrouter/management/shell.py
@@ -1,8 +1,7 @@
-"""The listening place for operators, and the file that the processes of one proxy share.
+"""The listener of the management interface, and the ban file that the processes of one proxy share.
 
-Carries out what `calls`, `bans` and `figures` say. A host is out in this process in the same step in which
-the call is understood; the yes waits for the file, by which another process hears of it, a tenth of a second
-later.
+Does the I/O for `calls`, `bans` and `figures`. A ban is in force in this process in the event loop step that
+parses the call. The response is sent once the file is written; other processes poll the file every 0.1 s.
 """
 
 from __future__ import annotations
@@ -17,84 +16,89 @@
 
 from cloverrouter.interface import ListKind
 from cloverrouter.management.bans import Bans
-from cloverrouter.management.calls import CallError, OperatorCall, Reader, Word, answer
+from cloverrouter.management.calls import CallError, CallKind, CallParser, OperatorCall, encode_response
 from cloverrouter.management.figures import Figures
-from cloverrouter.management.file import Shared, Stamp
+from cloverrouter.management.file import FileStamp, SharedBanFile
 from cloverrouter.proxy.config import Address, HostList, UnixClock
 from cloverrouter.proxy.node import Node
 from cloverrouter.roster.overlay import Drain, TooManyDrains, UnknownServer
 
-MOST_CALLERS = 64
-UNFINISHED_S = 2.5  # a caller that sends no whole call holds a descriptor no longer
-LOOK_S = 0.1
+MAX_CALLERS = 64
+CALL_TIMEOUT_S = 2.5  # limits how long an incomplete call holds a descriptor
+POLL_INTERVAL_S = 0.1
 BACKLOG = 128
-# Danger: the loop's own server takes as many at once as its `backlog` says, before one of them is counted;
-# with all that wait taken, requests, or the call to discovery, would find no descriptor.
-ACCEPTED_AT_ONCE = 4
-# Discovery answers at once where it has news of what a process knows from before its start.
-UNHEARD_S = 0.5
+# asyncio's server accepts up to `backlog` connections in one step, before `add` counts any of them. Accepting
+# all that wait in the socket's queue could leave no descriptors for requests or the call to discovery.
+MAX_ACCEPTS_PER_STEP = 4
+# Discovery answers at once if it has changes to the list that was stored before the start of this process, so
+# after this time without an answer that list counts as current.
+DISCOVERY_WAIT_S = 0.5
 log = logging.getLogger(__name__)
 
 
-class Caller(asyncio.Protocol):
-    """One connection: one call, one answer."""
+class CallerConnection(asyncio.Protocol):
+    """A connection of an operator: one call and its response."""
 
-    def __init__(self, owner: Management) -> None:
-        self._owner = owner
-        self._reader: Reader | None = Reader()
+    def __init__(self, management: Management) -> None:
+        self._management = management
+        self._parser: CallParser | None = CallParser()
         self._transport: asyncio.Transport | None = None
-        self._timer: asyncio.TimerHandle | None = None
+        self._timeout: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.Transport, transport)
-        # Danger: callers that send nothing would hold descriptors that requests need.
-        self._timer = asyncio.get_running_loop().call_later(UNFINISHED_S, self._late)
-        self._owner.add(self)
+        # Callers that send nothing must not hold descriptors that requests need.
+        self._timeout = asyncio.get_running_loop().call_later(CALL_TIMEOUT_S, self._on_timeout)
+        self._management.add(self)
 
     def data_received(self, data: bytes) -> None:
-        if self._reader is None:
-            return  # one call a connection
+        if self._parser is None:
+            return  # only one call per connection
         try:
-            call = self._reader.feed(data)
+            call = self._parser.feed(data)
         except CallError as error:
-            self.say(error.status, f"{error}\n".encode())
+            self.respond(error.status, f"{error}\n".encode())
             return
         if call is not None:
-            self._reader = None
-            self._owner.called(self, call)
+            self._parser = None
+            self._management.handle_call(self, call)
 
     def eof_received(self) -> bool:
-        return self._reader is None  # danger: a caller may end its sending and still wait for the answer
+        return self._parser is None  # keeps a half-closed connection open while its response is pending
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._transport, self._reader = None, None
-        if self._timer is not None:
-            self._timer.cancel()
-        self._owner.remove(self)
-
-    def _late(self) -> None:
-        if self._reader is not None:
-            self.say(408, b"no whole call came\n")
+        self._transport, self._parser = None, None
+        if self._timeout is not None:
+            self._timeout.cancel()
+        self._management.remove(self)
+
+    def _on_timeout(self) -> None:
+        if self._parser is not None:
+            self.respond(408, b"no whole call came\n")
         else:
-            self.end()
+            self.abort()
 
-    def say(self, status: int, body: bytes) -> None:
-        self._reader = None
+    def respond(self, status: int, body: bytes) -> None:
+        self._parser = None
         if self._transport is not None:
-            self._transport.write(answer(status, body))
+            self._transport.write(encode_response(status, body))
             self._transport.close()
 
-    def end(self) -> None:
+    def abort(self) -> None:
         if self._transport is not None:
             self._transport.abort()
 
     @property
     def unfinished(self) -> bool:
-        return self._reader is not None
+        return self._parser is not None
 
 
 class Management:
-    """`listed` takes discovery's lists on their way to the node, `figures` is to observe it."""
+    """The management interface of one process.
+
+    `forward_list` applies the bans to the lists of discovery on their way to the node; `figures` observes
+    the node and the frontend.
+    """
 
     def __init__(
         self,
@@ -102,43 +106,43 @@
         directory: Path,
         classes: Callable[[], Iterable[str]],
         stopping: Callable[[], bool],
-        most_callers: int = MOST_CALLERS,
+        max_callers: int = MAX_CALLERS,
     ) -> None:
-        """`most_callers`: calls that may be open at once (`proxy.descriptors.callers`)."""
-        self._most_callers = most_callers
+        """`max_callers`: limit on open connections (`proxy.descriptors.max_operator_calls`)."""
+        self._max_callers = max_callers
         self._classes, self._stopping = classes, stopping
         self._bans = Bans(clock)
         self.figures = Figures()
         self._node: Node | None = None
-        self._tell: Callable[[ListKind, HostList], None] | None = None
-        self._heard = False  # from discovery, by this process
-        self._began_s = time.monotonic()
-        self._callers: dict[Caller, None] = {}
+        self._deliver_list: Callable[[ListKind, HostList], None] | None = None
+        self._list_received = False  # from discovery since the start of this process
+        self._started_s = time.monotonic()
+        self._callers: dict[CallerConnection, None] = {}
         self._server: asyncio.Server | None = None
-        self._saving = asyncio.Lock()
-        self._jobs: set[asyncio.Task[None]] = set()
-        self._look: asyncio.TimerHandle | None = None
-        self._stamp: Stamp | None = None
-        self._shared: Shared | None = None
+        self._save_lock = asyncio.Lock()
+        self._save_tasks: set[asyncio.Task[None]] = set()
+        self._poll_timer: asyncio.TimerHandle | None = None
+        self._stamp: FileStamp | None = None
+        self._file: SharedBanFile | None = None
         try:
-            self._shared = Shared(directory)
-            self._stamp = self._shared.stamp()
-            said, aside = self._shared.load()
+            self._file = SharedBanFile(directory)
+            self._stamp = self._file.stamp()
+            records, moved_to = self._file.load()
         except OSError as error:
-            log.error("hosts taken out are not shared with another process: %s", error)
+            log.error("bans are not shared with other processes: %s", error)
         else:
-            if aside is not None:
-                log.error("the hosts taken out could not be read, none is out; set aside as %s", aside)
-            self._bans.take_over(said, _now_ms())
+            if moved_to is not None:
+                log.error("the ban file could not be read, no host is banned; moved to %s", moved_to)
+            self._bans.load_shared(records, _now_ms())
 
-    def attach(self, node: Node, tell: Callable[[ListKind, HostList], None]) -> None:
-        """`tell` hands lists on towards the node."""
-        self._node, self._tell = node, tell
+    def attach(self, node: Node, deliver_list: Callable[[ListKind, HostList], None]) -> None:
+        """Set the node, and the function that delivers lists to it."""
+        self._node, self._deliver_list = node, deliver_list
 
-    def listed(self, kind: ListKind, found: HostList) -> None:
-        assert self._tell is not None
-        self._heard = self._heard or kind is not ListKind.RESTORED
-        self._tell(kind, self._bans.listed(kind, found))
+    def forward_list(self, kind: ListKind, found: HostList) -> None:
+        assert self._deliver_list is not None
+        self._list_received = self._list_received or kind is not ListKind.RESTORED
+        self._deliver_list(kind, self._bans.listed(kind, found))
 
     async def listen(self, address: Address) -> None:
         loop = asyncio.get_running_loop()
@@ -149,110 +153,118 @@
         except OSError:
             sock.close()
             raise
-        self._server = await loop.create_server(lambda: Caller(self), sock=sock, backlog=ACCEPTED_AT_ONCE)
+        self._server = await loop.create_server(
+            lambda: CallerConnection(self), sock=sock, backlog=MAX_ACCEPTS_PER_STEP
+        )
         sock.listen(BACKLOG)
-        self._look_again()
-        log.info("operators call at %s:%d", *address)
+        self._poll_file()
+        log.info("management interface listens on %s:%d", *address)
 
     def close(self) -> None:
-        if self._look is not None:
-            self._look.cancel()
+        if self._poll_timer is not None:
+            self._poll_timer.cancel()
         if self._server is not None:
             self._server.close()
         for caller in list(self._callers):
-            caller.end()
+            caller.abort()
 
-    # Callers
+    # Connections
 
-    def add(self, caller: Caller) -> None:
+    def add(self, caller: CallerConnection) -> None:
         self._callers[caller] = None
-        if len(self._callers) > self._most_callers:
+        if len(self._callers) > self._max_callers:
             oldest = next((c for c in self._callers if c.unfinished), caller)
-            # Danger: it is lost a step later; counted until then, it would be the oldest again and again.
+            # connection_lost comes in a later step; until then it would count and be evicted again.
             del self._callers[oldest]
-            oldest.end()
+            oldest.abort()
 
-    def remove(self, caller: Caller) -> None:
+    def remove(self, caller: CallerConnection) -> None:
         self._callers.pop(caller, None)
 
-    def called(self, caller: Caller, call: OperatorCall) -> None:
-        match call.word:
-            case Word.HEALTH:
+    def handle_call(self, caller: CallerConnection, call: OperatorCall) -> None:
+        match call.kind:
+            case CallKind.HEALTH:
                 ready = self.ready()
-                caller.say(200 if ready else 503, b"ready\n" if ready else b"not ready\n")
-            case Word.FIGURES:
-                caller.say(200, self._figures())
-            case Word.TAKE_OUT | Word.GIVE_BACK:
-                self._host(caller, call)
+                caller.respond(200 if ready else 503, b"ready\n" if ready else b"not ready\n")
+            case CallKind.STATS:
+                caller.respond(200, self._metrics())
+            case CallKind.BAN | CallKind.LIFT:
+                self._change_ban(caller, call)
 
     def ready(self) -> bool:
-        """Danger: a list from before the start names hosts that may be gone; a yes on it would bind."""
+        """Whether the process can serve requests.
+
+        The list that was stored before the start may name removed hosts, so it alone doesn't count until
+        discovery has had `DISCOVERY_WAIT_S` to answer.
+        """
         assert self._node is not None
-        heard = self._heard or time.monotonic() - self._began_s >= UNHEARD_S
-        return heard and not self._stopping() and self._node.ready()
+        list_current = self._list_received or time.monotonic() - self._started_s >= DISCOVERY_WAIT_S
+        return list_current and not self._stopping() and self._node.ready()
 
-    def _figures(self) -> bytes:
+    def _metrics(self) -> bytes:
         assert self._node is not None
         node = self._node
-        return self.figures.text(self._classes(), node.written_out(), node.in_flight, node.view())
+        return self.figures.text(self._classes(), node.fully_sent_by_class(), node.in_flight, node.view())
 
-    # Hosts taken out and given back
+    # Bans
 
-    def _host(self, caller: Caller, call: OperatorCall) -> None:
-        assert self._tell is not None
+    def _change_ban(self, caller: CallerConnection, call: OperatorCall) -> None:
+        assert self._deliver_list is not None
         now_ms = _now_ms()
-        out = call.word is Word.TAKE_OUT
+        banned = call.kind is CallKind.BAN
         try:
-            tell = (self._bans.take_out if out else self._bans.give_back)(call.host, now_ms)
+            update = (self._bans.ban if banned else self._bans.lift)(call.host, now_ms)
         except UnknownServer:
-            caller.say(404, f"no host was ever listed as {call.host!r}\n".encode())
+            caller.respond(404, f"no host was ever listed as {call.host!r}\n".encode())
             return
         except TooManyDrains:
-            caller.say(503, b"too many hosts are out\n")
+            caller.respond(503, b"too many hosts are out\n")
             return
-        log.warning("%s %s by an operator's call", call.host, "out" if out else "back")
-        if tell is not None:
-            self._tell(ListKind.DELTA, tell)
-        task = asyncio.get_running_loop().create_task(self._save_and_say(caller, call.host))
-        self._jobs.add(task)
-        task.add_done_callback(self._jobs.discard)
-
-    async def _save_and_say(self, caller: Caller, host: str) -> None:
-        """Danger: a disk that is slow to sync would hold up every request, so it is left to a thread."""
-        shared = self._shared
-        if shared is not None:
-            async with self._saving:
-                mine = next((d for d in self._bans.all(_now_ms()) if d.server == host), None)
-
-                def edit(written: list[Drain]) -> list[Drain]:
-                    others = [d for d in written if d.server != host]
-                    return others if mine is None else [*others, mine]
+        log.warning("%s %s by an operator's call", call.host, "out" if banned else "back")
+        if update is not None:
+            self._deliver_list(ListKind.DELTA, update)
+        task = asyncio.get_running_loop().create_task(self._save_and_respond(caller, call.host))
+        self._save_tasks.add(task)
+        task.add_done_callback(self._save_tasks.discard)
+
+    async def _save_and_respond(self, caller: CallerConnection, host: str) -> None:
+        """Write the host's ban to the file in a thread: a slow fsync would delay every request."""
+        ban_file = self._file
+        if ban_file is not None:
+            async with self._save_lock:
+                own_record = next((d for d in self._bans.records(_now_ms()) if d.server == host), None)
+
+                def edit(stored: list[Drain]) -> list[Drain]:
+                    others = [d for d in stored if d.server != host]
+                    return others if own_record is None else [*others, own_record]
 
                 try:
-                    await asyncio.get_running_loop().run_in_executor(None, shared.change, edit)
+                    await asyncio.get_running_loop().run_in_executor(None, ban_file.update, edit)
                 except OSError as error:
-                    log.error("in force here, but not shared with another process: %s", error)
-        caller.say(200, b"done\n")
-
-    def _look_again(self) -> None:
-        """Has another process written?"""
-        self._look = asyncio.get_running_loop().call_later(LOOK_S, self._look_again)
-        # Danger: what this process has still to write down would be undone by what another one wrote before.
-        if self._shared is None or self._jobs:
+                    log.error("the ban change is in force, but not shared with other processes: %s", error)
+        caller.respond(200, b"done\n")
+
+    def _poll_file(self) -> None:
+        """Load the bans if another process has written the file."""
+        self._poll_timer = asyncio.get_running_loop().call_later(POLL_INTERVAL_S, self._poll_file)
+        # While a change of this process is not yet written, loading the file would undo it.
+        if self._file is None or self._save_tasks:
             return
         try:
-            stamp = self._shared.stamp()
+            stamp = self._file.stamp()
             if stamp == self._stamp:
                 return
-            said, _aside = self._shared.load()
+            records, _moved_to = self._file.load()
         except OSError as error:
-            log.error("hosts taken out by another process can't be read: %s", error)
+            log.error("bans of another process can't be read: %s", error)
             return
         self._stamp = stamp
-        tell = self._bans.take_over(said, _now_ms())
-        if tell is not None and self._tell is not None:
-            log.warning("taken over from another process: out are %s", ", ".join(self._bans.drains) or "none")
-            self._tell(ListKind.DELTA, tell)
+        update = self._bans.load_shared(records, _now_ms())
+        if update is not None and self._deliver_list is not None:
+            log.warning(
+                "bans loaded from another process; banned hosts: %s", ", ".join(self._bans.drains) or "none"
+            )
+            self._deliver_list(ListKind.DELTA, update)
 
 
 def _now_ms() -> float:
--- a/cloverrouter/membership/__init__.py
+++ b/cloverrouter/membership/__init__.py
@@ -1,5 +1,5 @@
-"""Which servers are there, by what discovery tells and by what the sockets show. Rules without I/O.
+"""Rules on which servers are alive, from discovery's lists and from connection signals. No I/O.
 
-`evidence` and `releases` are the decision module's; `watching` and `idling` the shells' (`proxy`, and the
-lab's simulated proxy, which so meet the same rules).
+The decision module uses `evidence` and `releases`. The I/O layers use `watching` and `idling`: the real proxy
+(`proxy`) and the simulated proxy of the lab, so that both follow the same rules.
 """
--- a/cloverrouter/membership/evidence.py
+++ b/cloverrouter/membership/evidence.py
@@ -1,9 +1,9 @@
-"""What speaks for and against a server's being there, as the sockets tell it. No I/O, no clock; times in ms.
+"""Liveness estimates of servers from connection signals. No I/O, no clock; times in ms.
 
-Discovery is seconds late, and silent now and then. What the sockets tell is there at once, and each sign can
-lie in its own way: a refused connection says that the process is gone, for the machine itself says so;
-silence may be the network's, or ours; a connection that ends may be one that ended by itself. So signs are
-weighed, they age, and none of them makes a server usable that discovery, or an operator, said to leave.
+Discovery is seconds late and sometimes unresponsive. Connection signals are immediate, and each can mislead
+in its own way: a refused connection shows that its process has ended, as the machine answers; a timeout
+may be caused by the network or by this proxy; a closed connection may have been closed on its own. So signals
+are weighted and expire, and none of them makes a server usable that discovery or an operator drained.
 """
 
 from __future__ import annotations
@@ -12,46 +12,53 @@
 from dataclasses import dataclass, field
 from typing import Generic, Protocol, TypeVar
 
-from cloverrouter.interface import Belief, Sign
+from cloverrouter.interface import ConnectionSignal, Liveness
 
-# Between two trials of a doubted server: the first gap, doubled each time up to the longest. With many
-# proxies both grow, so that a server which comes back is not met by all of them within the same second.
-FIRST_GAP_MS, LONGEST_GAP_MS, GAP_PER_PROXY_MS = 250.0, 4_000.0, 10.0
-FIRST_PART = 0.05  # of the longest, where that has grown
-# A doubt that nothing has renewed for so long has lapsed, if discovery was heard since and still lists the
+# Interval between two trials of a suspected server, doubled after each up to the maximum. With many proxies
+# both limits grow, so that not all of them reach a recovered server within the same second.
+FIRST_TRIAL_INTERVAL_MS, MAX_TRIAL_INTERVAL_MS, TRIAL_INTERVAL_PER_PROXY_MS = 250.0, 4_000.0, 10.0
+FIRST_TRIAL_INTERVAL_SHARE = 0.05  # of the maximum, where that has grown
+# A suspicion expires this long after its last signal, if discovery has answered since and still lists the
 # server.
-LAPSE_MS = 30_000.0
-# So many bursts of silence, each after the one before had ended, make a suspect absent.
-BURSTS = 2
-# So many requests must have gone unanswered: one may have been a costly one, which nothing overtook by
-# chance.
-SILENT_LEAST = 2
+EXPIRY_MS = 30_000.0
+# Bursts of timeouts, each after the end of the one before, that make a suspect server absent.
+BURSTS_UNTIL_ABSENT = 2
+# Unanswered requests needed for a suspicion: a single one may be an expensive request that no other happened
+# to overtake.
+MIN_UNANSWERED_REQUESTS = 2
 
 
-# So many connections to a server, all that there are, that its side ends within so long: its process has
-# ended. Danger: on a day on which connections break one by one, two of two do within 50 ms ten times in 20 s.
-TOGETHER_MS, TOGETHER = 10.0, 3
-WEIGHT = {Sign.SILENT: 0, Sign.UNANSWERED: 1, Sign.HUNG_UP: 1, Sign.REFUSED: 2}
+# The process of a server has ended if it closes all its connections, at least this many, within this time.
+# Where connections break independently, two of two do so within 50 ms ten times in 20 s.
+CLOSE_WINDOW_MS, MIN_SIMULTANEOUS_CLOSES = 10.0, 3
+SIGNAL_WEIGHTS = {
+    ConnectionSignal.UNRESPONSIVE: 0,
+    ConnectionSignal.CONNECT_TIMEOUT: 1,
+    ConnectionSignal.CLOSED_BY_PEER: 1,
+    ConnectionSignal.REFUSED: 2,
+}
 
 
 @dataclass(slots=True)
-class Fleet:
-    """What holds for all servers of a proxy together."""
+class FleetState:
+    """State common to all servers of a proxy."""
 
     proxies: int = 1
-    heard_ms: float = float("-inf")  # when any of them last answered
-    told_ms: float = float("-inf")  # when discovery last did
-    stood_ms: float = float("-inf")  # when this proxy last had stood still
-    doubts: int = 0  # servers that enough speaks against
-    # Danger: with something against every server, no more than against all of them at once is known. That may
-    # be our own network's doing, and must not leave nobody to send to.
-    all_doubted: bool = False
-    first_gap_ms: float = field(init=False)
-    longest_gap_ms: float = field(init=False)
+    last_response_ms: float = float("-inf")  # time of the last response from any server
+    last_discovery_ms: float = float("-inf")  # time of the last response from discovery
+    last_pause_ms: float = float("-inf")  # end of the last pause of this process
+    suspect_count: int = 0  # servers with enough signals against them
+    # Signals against every server may come from a fault of the proxy's own network. They must not exclude all
+    # servers.
+    all_suspected: bool = False
+    first_trial_interval_ms: float = field(init=False)
+    max_trial_interval_ms: float = field(init=False)
 
     def __post_init__(self) -> None:
-        self.longest_gap_ms = max(LONGEST_GAP_MS, GAP_PER_PROXY_MS * self.proxies)
-        self.first_gap_ms = max(FIRST_GAP_MS, FIRST_PART * self.longest_gap_ms)
+        self.max_trial_interval_ms = max(MAX_TRIAL_INTERVAL_MS, TRIAL_INTERVAL_PER_PROXY_MS * self.proxies)
+        self.first_trial_interval_ms = max(
+            FIRST_TRIAL_INTERVAL_MS, FIRST_TRIAL_INTERVAL_SHARE * self.max_trial_interval_ms
+        )
 
 
 class Suspect(Protocol):
@@ -62,183 +69,211 @@
 
 
 class Suspects(Generic[S]):
-    """The servers that enough speaks against to count, by their numbers."""
+    """Servers with enough signals against them, ordered by number."""
 
     def __init__(self) -> None:
         self.all: list[S] = []
-        self.new: dict[S, None] = {}  # those that came to it since anybody was heard
+        self.added: dict[S, None] = {}  # servers added since the last response from any server
         self._from = 0
 
-    def note(self, server: S, stands: bool) -> None:
-        if not stands and not self.all:
+    def update(self, server: S, suspected: bool) -> None:
+        if not suspected and not self.all:
             return
         at = bisect_left(self.all, server.number, key=lambda e: e.number)
-        if stands == (at < len(self.all) and self.all[at] is server):
+        if suspected == (at < len(self.all) and self.all[at] is server):
             return
-        if stands:
+        if suspected:
             self.all.insert(at, server)
-            self.new[server] = None
+            self.added[server] = None
         else:
             del self.all[at]
-            self.new.pop(server, None)
+            self.added.pop(server, None)
 
-    def newest(self) -> list[S]:
-        """Those since anybody was heard, as somebody is."""
-        new, self.new = self.new, {}
+    def take_added(self) -> list[S]:
+        """Return and clear the servers added since the last response; called at the next response."""
+        new, self.added = self.added, {}
         return list(new)
 
-    def some(self, most: int) -> list[S]:
-        """All; of more than `most` so many, others each time."""
-        if len(self.all) <= most:
+    def sample(self, max_count: int) -> list[S]:
+        """Return all servers or, of more than `max_count`, that many, different ones at each call."""
+        if len(self.all) <= max_count:
             return self.all
-        self._from = (self._from + most) % len(self.all)
-        return self.all[self._from : self._from + most]
+        self._from = (self._from + max_count) % len(self.all)
+        return self.all[self._from : self._from + max_count]
 
 
-class Ends:
-    """Connections to a server that were ended by its side: all at one moment are its process's end."""
+class ConnectionCloses:
+    """Recent closes of connections by a server; if all close together, its process has ended."""
 
     __slots__ = ("_at_ms",)
 
     def __init__(self) -> None:
         self._at_ms: list[float] = []
 
-    def add(self, now_ms: float, left: int) -> bool:
-        """One more has ended, and so many are left. True if that was the end of the process."""
-        self._at_ms = [at_ms for at_ms in self._at_ms if at_ms > now_ms - TOGETHER_MS]
+    def record_close(self, now_ms: float, still_open: int) -> bool:
+        """Record a close, after which `still_open` remain. Returns True if the process has ended."""
+        self._at_ms = [at_ms for at_ms in self._at_ms if at_ms > now_ms - CLOSE_WINDOW_MS]
         self._at_ms.append(now_ms)
-        # Danger: one that ends by itself, idle for long or broken under way, says nothing about the others.
-        if left or len(self._at_ms) < TOGETHER:
+        # A single connection that is closed, after idling or by a fault, says nothing about the others.
+        if still_open or len(self._at_ms) < MIN_SIMULTANEOUS_CLOSES:
             return False
         self._at_ms.clear()
         return True
 
 
-class Evidence:
-    """Of one server's process."""
+class LivenessTracker:
+    """Signals and liveness estimate of one server's process."""
 
     __slots__ = (
-        "against",
-        "ended",
+        "first_signal_ms",
         "fleet",
-        "gap_ms",
-        "heard_ms",
-        "last_ms",
-        "sign",
-        "silent",
-        "since_ms",
-        "trial_ms",
-        "trying",
+        "last_response_ms",
+        "last_signal_ms",
+        "next_trial_ms",
+        "process_ended",
+        "signal_bursts",
+        "strongest_signal",
+        "trial_interval_ms",
+        "trial_request_id",
+        "unanswered_requests",
     )
 
-    def __init__(self, fleet: Fleet) -> None:
+    def __init__(self, fleet: FleetState) -> None:
         self.fleet = fleet
-        self.heard_ms = float("-inf")
-        self.against = 0  # bursts of signs since it was last heard
-        self.silent = 0  # requests without an answer among them
-        self.sign: Sign | None = None  # the weightiest of them
-        self.since_ms = self.last_ms = 0.0  # the first of them, and the last
-        self.ended = False  # its process was seen to end: what answers next is another one
-        self.gap_ms = self.fleet.first_gap_ms
-        self.trial_ms = 0.0  # no trial before
-        self.trying: int | None = None  # the request that tries it now
-
-    def heard(self, now_ms: float) -> bool:
-        """Something came back from it. True if that ends a doubt."""
-        self.heard_ms = self.fleet.heard_ms = now_ms
-        return self._cleared()
-
-    def accepted(self) -> bool:
-        """A new connection came up: somebody listens there, though nobody has answered. True if that ends a
-        doubt."""
-        return self._cleared()
-
-    def silenced_since(self, heard_ms: float) -> bool:
-        """Does nothing but silence speak against it, which began after `heard_ms`?"""
+        self.last_response_ms = float("-inf")
+        self.signal_bursts = 0  # bursts of signals since its last response
+        self.unanswered_requests = 0  # unanswered requests among them
+        self.strongest_signal: ConnectionSignal | None = None  # the one of greatest weight among them
+        self.first_signal_ms = self.last_signal_ms = 0.0  # times of the first and the last of them
+        self.process_ended = False  # its process has ended: the next response comes from another process
+        self.trial_interval_ms = self.fleet.first_trial_interval_ms
+        self.next_trial_ms = 0.0  # no trial before this time
+        self.trial_request_id: int | None = None  # request in flight as a trial
+
+    def record_response(self, now_ms: float) -> bool:
+        """Record a response. Returns True if that ends a suspicion."""
+        self.last_response_ms = self.fleet.last_response_ms = now_ms
+        return self._clear_signals()
+
+    def record_connection(self) -> bool:
+        """Record a new connection: a process listens, though none has answered yet.
+
+        Returns True if that ends a suspicion.
+        """
+        return self._clear_signals()
+
+    def only_timeouts_since(self, response_ms: float) -> bool:
+        """Whether all signals against it are timeouts that began after `response_ms`."""
         return (
-            self.stands
-            and self.sign in (Sign.UNANSWERED, Sign.SILENT)
-            and not self.ended
-            and self.since_ms > heard_ms
+            self.has_enough_signals
+            and self.strongest_signal in (ConnectionSignal.CONNECT_TIMEOUT, ConnectionSignal.UNRESPONSIVE)
+            and not self.process_ended
+            and self.first_signal_ms > response_ms
         )
 
-    def _cleared(self) -> bool:
-        if not self.against:
+    def _clear_signals(self) -> bool:
+        if not self.signal_bursts:
             return False
-        self.against, self.silent, self.sign, self.ended = 0, 0, None, False
-        self.gap_ms = self.fleet.first_gap_ms
+        self.signal_bursts, self.unanswered_requests, self.strongest_signal, self.process_ended = (
+            0,
+            0,
+            None,
+            False,
+        )
+        self.trial_interval_ms = self.fleet.first_trial_interval_ms
         return True
 
-    def saw(self, sign: Sign, sent_ms: float, now_ms: float, jitter: float) -> bool:
-        """A sign against it, of what was begun at `sent_ms`; `jitter` from 0 to 1. True if that makes it
-        stand.
+    def record_signal(self, signal: ConnectionSignal, sent_ms: float, now_ms: float, jitter: float) -> bool:
+        """Record a signal against the server from an operation begun at `sent_ms`; `jitter` is from 0 to 1.
 
-        Danger: twenty attempts that were out when a machine vanished time out one by one. That is one event.
+        Returns True if there are now enough signals. Twenty attempts in flight to a machine that vanishes
+        time out one by one; such signals count as one burst.
         """
-        stood, first = self.stands, not self.against
-        self.silent += sign is Sign.SILENT
-        self.ended = self.ended or sign in (Sign.REFUSED, Sign.HUNG_UP)
+        had_enough, first = self.has_enough_signals, not self.signal_bursts
+        self.unanswered_requests += signal is ConnectionSignal.UNRESPONSIVE
+        self.process_ended = self.process_ended or signal in (
+            ConnectionSignal.REFUSED,
+            ConnectionSignal.CLOSED_BY_PEER,
+        )
         if first:
-            self.against, self.sign, self.since_ms, self.trial_ms = 1, sign, now_ms, now_ms
-            if sign is Sign.REFUSED:
-                self._wait(now_ms, jitter)
-        elif sent_ms >= self.last_ms:
-            self.against += 1
-            self._wait(now_ms, jitter)
-        assert self.sign is not None
-        if WEIGHT[sign] >= WEIGHT[self.sign]:
-            self.sign = sign
-        self.last_ms = now_ms
-        return self.stands and not stood
+            self.signal_bursts, self.strongest_signal, self.first_signal_ms, self.next_trial_ms = (
+                1,
+                signal,
+                now_ms,
+                now_ms,
+            )
+            if signal is ConnectionSignal.REFUSED:
+                self._schedule_trial(now_ms, jitter)
+        elif sent_ms >= self.last_signal_ms:
+            self.signal_bursts += 1
+            self._schedule_trial(now_ms, jitter)
+        assert self.strongest_signal is not None
+        if SIGNAL_WEIGHTS[signal] >= SIGNAL_WEIGHTS[self.strongest_signal]:
+            self.strongest_signal = signal
+        self.last_signal_ms = now_ms
+        return self.has_enough_signals and not had_enough
 
     @property
-    def stands(self) -> bool:
-        """Is there enough against it to count at all?"""
-        return self.against > 0 and (self.sign is not Sign.SILENT or self.silent >= SILENT_LEAST)
-
-    def _wait(self, now_ms: float, jitter: float) -> None:
-        self.trial_ms = now_ms + self.gap_ms * (0.5 + jitter / 2)
-        self.gap_ms = min(self.fleet.longest_gap_ms, 2 * self.gap_ms)
-
-    def belief(self, now_ms: float) -> Belief:
-        if not self.against:
-            return Belief.UNKNOWN if self.heard_ms == float("-inf") else Belief.PRESENT
-        if self.fleet.all_doubted or not self.stands:
-            return Belief.UNKNOWN
-        # Danger: what may have been heard of nobody, our own network being down, says nothing about this one.
-        # It has not been heard since the doubt began: whoever was, is another. A refusal is itself an answer.
-        if self.sign is not Sign.REFUSED and self.fleet.heard_ms <= self.since_ms:
-            return Belief.UNKNOWN
-        # While discovery is silent nothing but this tells: a doubt does not lapse then.
-        if now_ms - self.last_ms > LAPSE_MS and self.fleet.told_ms - self.last_ms > LAPSE_MS / 2:
-            return Belief.UNKNOWN
-        if self.sign is Sign.REFUSED or (self.sign is not Sign.HUNG_UP and self.against >= BURSTS):
-            return Belief.ABSENT
-        return Belief.SUSPECT
-
-    def doubted(self, now_ms: float) -> bool:
-        return self.belief(now_ms) in (Belief.SUSPECT, Belief.ABSENT)
-
-    def due(self, now_ms: float) -> bool:
-        """May one request try whether it is there?"""
-        return self.trying is None and now_ms >= self.trial_ms and self.doubted(now_ms)
+    def has_enough_signals(self) -> bool:
+        """Whether the signals suffice to count at all."""
+        return self.signal_bursts > 0 and (
+            self.strongest_signal is not ConnectionSignal.UNRESPONSIVE
+            or self.unanswered_requests >= MIN_UNANSWERED_REQUESTS
+        )
+
+    def _schedule_trial(self, now_ms: float, jitter: float) -> None:
+        self.next_trial_ms = now_ms + self.trial_interval_ms * (0.5 + jitter / 2)
+        self.trial_interval_ms = min(self.fleet.max_trial_interval_ms, 2 * self.trial_interval_ms)
+
+    def estimate(self, now_ms: float) -> Liveness:
+        if not self.signal_bursts:
+            return Liveness.UNKNOWN if self.last_response_ms == float("-inf") else Liveness.PRESENT
+        if self.fleet.all_suspected or not self.has_enough_signals:
+            return Liveness.UNKNOWN
+        # Without any response since the first signal, the fault may be in the proxy's own network. This
+        # server has not responded since then, so a later response came from another one. A refusal is itself
+        # a response.
+        if (
+            self.strongest_signal is not ConnectionSignal.REFUSED
+            and self.fleet.last_response_ms <= self.first_signal_ms
+        ):
+            return Liveness.UNKNOWN
+        # While discovery is unresponsive, signals are the only source: a suspicion does not expire then.
+        if (
+            now_ms - self.last_signal_ms > EXPIRY_MS
+            and self.fleet.last_discovery_ms - self.last_signal_ms > EXPIRY_MS / 2
+        ):
+            return Liveness.UNKNOWN
+        if self.strongest_signal is ConnectionSignal.REFUSED or (
+            self.strongest_signal is not ConnectionSignal.CLOSED_BY_PEER
+            and self.signal_bursts >= BURSTS_UNTIL_ABSENT
+        ):
+            return Liveness.ABSENT
+        return Liveness.SUSPECT
+
+    def suspected(self, now_ms: float) -> bool:
+        return self.estimate(now_ms) in (Liveness.SUSPECT, Liveness.ABSENT)
+
+    def trial_due(self, now_ms: float) -> bool:
+        """Whether one request may now be sent to it as a trial."""
+        return self.trial_request_id is None and now_ms >= self.next_trial_ms and self.suspected(now_ms)
 
     def reason(self, now_ms: float) -> str:
-        """For people: what is believed of it, and why."""
-        if not self.against:
-            heard_s = (now_ms - self.heard_ms) / 1000
-            return "nothing was heard of it yet" if heard_s == float("inf") else f"heard {heard_s:.1f} s ago"
-        assert self.sign is not None
-        signs = {
-            Sign.REFUSED: "refused a connection",
-            Sign.UNANSWERED: "did not answer a connection",
-            Sign.SILENT: "did not answer a request",
-            Sign.HUNG_UP: "ended all its connections",
+        """Describe the signals and the estimate for operators."""
+        if not self.signal_bursts:
+            age_s = (now_ms - self.last_response_ms) / 1000
+            return "nothing was heard of it yet" if age_s == float("inf") else f"heard {age_s:.1f} s ago"
+        assert self.strongest_signal is not None
+        descriptions = {
+            ConnectionSignal.REFUSED: "refused a connection",
+            ConnectionSignal.CONNECT_TIMEOUT: "did not answer a connection",
+            ConnectionSignal.UNRESPONSIVE: "did not answer a request",
+            ConnectionSignal.CLOSED_BY_PEER: "ended all its connections",
         }
-        text = f"{signs[self.sign]} {(now_ms - self.last_ms) / 1000:.1f} s ago"
-        if self.against > 1:
-            text += f", {self.against} times since {(now_ms - self.since_ms) / 1000:.1f} s"
-        if self.stands and self.belief(now_ms) is Belief.UNKNOWN:
-            nobody = "so does every other" if self.fleet.all_doubted else "nobody else was heard since"
-            text += f"; not counted: {nobody if now_ms - self.last_ms <= LAPSE_MS else 'too long ago'}"
+        text = f"{descriptions[self.strongest_signal]} {(now_ms - self.last_signal_ms) / 1000:.1f} s ago"
+        if self.signal_bursts > 1:
+            text += f", {self.signal_bursts} times since {(now_ms - self.first_signal_ms) / 1000:.1f} s"
+        if self.has_enough_signals and self.estimate(now_ms) is Liveness.UNKNOWN:
+            cause = "so does every other" if self.fleet.all_suspected else "nobody else was heard since"
+            text += f"; not counted: {cause if now_ms - self.last_signal_ms <= EXPIRY_MS else 'too long ago'}"
         return text
--- a/cloverrouter/membership/releases.py
+++ b/cloverrouter/membership/releases.py
@@ -1,43 +1,43 @@
-"""What servers that have just started can take together, and whether a release is going on. No I/O; times in
-ms.
+"""Work rates of servers that have just started, and detection of a rollout. No I/O; times in ms.
 
-Danger: a server just started that is sent more than a multiple of what it can do at that moment falls over,
-and stays down. What it is stated to do at least, and a warm server's part, bound that from below: where most
-of a fleet is new at once they leave its cores idle, while requests are refused.
+A server that has just started fails, and stays down, if it is sent more than a multiple of its present
+capacity. Its stated minimum share of a warm server's rate is a lower bound of that capacity. Where most of a
+fleet is new at once, this bound alone would leave cores idle while requests are refused.
 """
 
 from __future__ import annotations
 
 from collections import deque
-from collections.abc import Hashable
+from collections.abc import Sequence
 from typing import TypeVar
 
-Place = TypeVar("Place", bound=Hashable)
+Place = TypeVar("Place")
 
-# A cold server may be sent this part of the push it must not exceed, by the work that it has shown to do.
-# Over all proxies that is this part of the push, whatever their number; with the part that its stated share
-# allows (`decide.COLD_MARGIN`, a third), five sixths of it.
-SHOWN_PART = 0.5
-# What it has shown is smoothed over this part of the time in which too much makes it fall: a surge that was
-# answered late does not count for longer than the rule looks back.
+# Share of the overload multiple that a cold server may be sent, relative to the work that it has completed.
+# Summed over any number of proxies it is the same share; with the part that the stated share allows
+# (`decide.COLD_MARGIN`, a third), five sixths of the multiple.
+COMPLETED_WORK_SHARE = 0.5
+# Completed work is smoothed over this share of the overload window, so that a surge that was answered late
+# does not count for longer than the window.
 SHOWN_SPAN = 0.25
-# A release goes on where this part of the fleet began or was told to leave, one at least of each, within so
-# long.
-RELEASE_PART, RELEASE_MS = 0.25, 10_000.0
+# A rollout is in progress if this share of the fleet started, drained or was removed within this time, with
+# at least one start and one drain or removal.
+ROLLOUT_FLEET_SHARE, ROLLOUT_WINDOW_MS = 0.25, 10_000.0
 
 
-def opened_ahead(new: set[Place], first: bool, crowd: bool) -> set[Place]:
-    """The servers of a new list that are connected to before a request needs it: that tells whether anybody
-    is there, and costs them no more than their first request would.
+def servers_to_preconnect(new: Sequence[Place], first: bool, many_proxies: bool) -> Sequence[Place]:
+    """Return the servers of a new list to connect to before a request needs them.
 
-    Danger: of many proxies one connection each is a flood, at the very moment that a server starts. And what
-    a first list names has long been there.
+    The connection shows whether the server is alive, and costs it no more than its first request would. With
+    many proxies, one connection each would flood a server just as it starts, so none is opened. Neither is
+    one for the first list, whose servers have long been running. The order is that of `new`: connections are
+    limited, and which servers get one must not differ from one process to another.
     """
-    return set() if crowd or first else new
+    return () if many_proxies or first else new
 
 
-class Shown:
-    """Work a millisecond that a server has done for this proxy of late: a rate that fades."""
+class CompletedWorkRate:
+    """Work per millisecond that a server has recently completed for this proxy: a decaying rate."""
 
     __slots__ = ("_at_ms", "_span_ms", "_sum")
 
@@ -47,10 +47,10 @@
         self._at_ms: float | None = None
 
     def add(self, now_ms: float, work: float) -> None:
-        self._fade(now_ms)
+        self._decay(now_ms)
         self._sum += work
 
-    def _fade(self, now_ms: float) -> None:
+    def _decay(self, now_ms: float) -> None:
         if self._at_ms is not None:
             self._sum *= max(0.0, 1 - (now_ms - self._at_ms) / self._span_ms)
         self._at_ms = now_ms
@@ -58,36 +58,38 @@
     def per_ms(self, now_ms: float) -> float:
         if self._at_ms is None:
             return 0.0
-        self._fade(now_ms)
+        self._decay(now_ms)
         return self._sum / self._span_ms
 
 
-def cold_rate(stated: float, shown: float, push_multiple: float) -> float:
-    """Work a millisecond that a cold server may be sent from here: what the stated share allows (`stated`),
-    or what follows from the work that it has shown to do."""
-    return max(stated, SHOWN_PART * push_multiple * shown)
+def cold_rate(stated: float, completed: float, overload_multiple: float) -> float:
+    """Work per millisecond that this proxy may send to a cold server.
+
+    The larger of what the stated share allows (`stated`) and what follows from its completed work.
+    """
+    return max(stated, COMPLETED_WORK_SHARE * overload_multiple * completed)
 
 
-class Release:
-    """Is the fleet being replaced? Told of each list's changes."""
+class RolloutDetector:
+    """Detector of a rollout, in which servers are replaced, from the changes of each list."""
 
     def __init__(self) -> None:
-        self._seen: deque[tuple[float, int, int]] = deque()
-        self._started = self._left = 0
+        self._changes: deque[tuple[float, int, int]] = deque()
+        self._started = self._removed = 0
         self._fleet = 0
 
-    def told(self, now_ms: float, started: int, left: int, fleet: int) -> None:
-        """So many servers were told to have just started, and so many to leave or to be gone, of `fleet`."""
+    def record_changes(self, now_ms: float, started: int, removed: int, fleet: int) -> None:
+        """Record how many of the `fleet` servers have just started, and how many drain or were removed."""
         self._fleet = fleet
-        if started or left:
-            self._seen.append((now_ms, started, left))
+        if started or removed:
+            self._changes.append((now_ms, started, removed))
             self._started += started
-            self._left += left
+            self._removed += removed
 
-    def on(self, now_ms: float) -> bool:
-        while self._seen and self._seen[0][0] < now_ms - RELEASE_MS:
-            _, started, left = self._seen.popleft()
+    def in_progress(self, now_ms: float) -> bool:
+        while self._changes and self._changes[0][0] < now_ms - ROLLOUT_WINDOW_MS:
+            _, started, removed = self._changes.popleft()
             self._started -= started
-            self._left -= left
-        few = max(2.0, RELEASE_PART * self._fleet)
-        return self._started > 0 and self._left > 0 and self._started + self._left >= few
+            self._removed -= removed
+        threshold = max(2.0, ROLLOUT_FLEET_SHARE * self._fleet)
+        return self._started > 0 and self._removed > 0 and self._started + self._removed >= threshold
--- a/cloverrouter/membership/rings.py
+++ b/cloverrouter/membership/rings.py
@@ -1,6 +1,6 @@
-"""The ready servers of each zone in an order that is the same for all proxies, and what they weigh. No I/O.
+"""Ready servers of each zone in an order that is the same for all proxies, with their weights. No I/O.
 
-It is kept as servers come and go, at a cost that goes by how many do and by the logarithm of the others.
+An update costs time proportional to the number of changed servers and to the logarithm of the others.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 
 from cloverrouter.interface import ListedEndpoint
 
-# Weights are summed in whole numbers of these: exactly, so that what is taken off leaves no rest. A power of
-# two, by which a float is multiplied without rounding.
-UNITS = 2**64
-# Where so large a part of a zone changes in one step it is put in order anew.
-MANY = 1 / 8
+# Weights are summed exactly, as integers in units of 1 / WEIGHT_UNITS, so that subtraction leaves no
+# remainder. A power of two, by which a float is multiplied without rounding.
+WEIGHT_UNITS = 2**64
+# If more than this share of a zone changes in one step, the zone is sorted anew.
+REBUILD_SHARE = 1 / 8
 
 Key = tuple[int, str]
 
@@ -28,13 +28,13 @@
 
 class Server(Protocol):
     key: Key
-    number: int  # by the order in which they became known
+    number: int  # in the order in which the servers became known
     listed: ListedEndpoint
-    placed: ListedEndpoint | None  # as it was listed when it was put into its ring; None: it is in none
+    ring_entry: ListedEndpoint | None  # its entry when it was put into its ring; None: it is in no ring
 
     @property
     def usable(self) -> bool:
-        """Is it listed as ready now?"""
+        """Whether it is listed as ready now."""
 
 
 P = TypeVar("P", bound=Server)
@@ -45,7 +45,7 @@
 
 
 class Ring(Generic[P]):
-    """The servers of one zone."""
+    """Ready servers of one zone, sorted by `ring_key`."""
 
     __slots__ = ("members", "units")
 
@@ -53,66 +53,70 @@
         self.members: list[P] = []
         self.units = 0
 
-    def change(self, out: Sequence[P], into: Sequence[P]) -> None:
+    def change(self, removed: Sequence[P], added: Sequence[P]) -> None:
         members = self.members
-        if len(out) + len(into) > MANY * len(members):
-            left = set(out)
-            self.members = sorted([e for e in members if e not in left] + list(into), key=_key)
+        if len(removed) + len(added) > REBUILD_SHARE * len(members):
+            removed_set = set(removed)
+            self.members = sorted([e for e in members if e not in removed_set] + list(added), key=_key)
             return
-        for e in out:
+        for e in removed:
             del members[bisect_left(members, e.key, key=_key)]
-        for e in into:
+        for e in added:
             insort(members, e, key=_key)
 
 
-class Rings(Generic[P]):
+class ZoneRings(Generic[P]):
+    """Rings of all zones."""
+
     def __init__(self) -> None:
         self._rings: dict[str, Ring[P]] = {}
-        self._order: list[tuple[Key, str]] = []  # the zones, by the first server of each
+        self._order: list[tuple[Key, str]] = []  # zones, sorted by the first server of each
         self._units = 0
         self.count = 0
-        self._turn = 0.0
-        self._around: list[P] | None = None  # as last asked for
+        self._rotation = 0.0
+        self._last_sample: list[P] | None = None  # cached result of `sample`
 
     @property
     def weight(self) -> float:
-        return self._units / UNITS
+        return self._units / WEIGHT_UNITS
+
+    def change(self, changed: Iterable[P]) -> tuple[int, int]:
+        """Update the rings for servers that may have changed.
 
-    def change(self, touched: Iterable[P]) -> tuple[int, int]:
-        """These may have changed. How many processes began, and how many servers that were ready no longer
-        are."""
+        Returns how many processes started, and how many servers are no longer ready.
+        """
         zones: dict[str, tuple[list[P], list[P]]] = {}
         before: dict[str, float | None] = {}
         now: dict[str, float | None] = {}
-        for e in touched:
-            if e.placed is not None:
-                before[e.placed.name] = e.placed.started_ms
-                self._weigh(e.placed, -1)
-                zones.setdefault(e.placed.zone, ([], []))[0].append(e)
-            e.placed = e.listed if e.usable else None
-            if e.placed is not None:
-                now[e.placed.name] = e.placed.started_ms
-                self._weigh(e.placed, 1)
-                zones.setdefault(e.placed.zone, ([], []))[1].append(e)
-        self._move(zones)
-        self._around = None if zones else self._around
-        began = sum(ms is not None and before.get(name) != ms for name, ms in now.items())
-        return began, len(before.keys() - now.keys())
-
-    def _weigh(self, listed: ListedEndpoint, sign: int) -> None:
+        for e in changed:
+            if e.ring_entry is not None:
+                before[e.ring_entry.name] = e.ring_entry.started_ms
+                self._add_weight(e.ring_entry, -1)
+                zones.setdefault(e.ring_entry.zone, ([], []))[0].append(e)
+            e.ring_entry = e.listed if e.usable else None
+            if e.ring_entry is not None:
+                now[e.ring_entry.name] = e.ring_entry.started_ms
+                self._add_weight(e.ring_entry, 1)
+                zones.setdefault(e.ring_entry.zone, ([], []))[1].append(e)
+        self._update_rings(zones)
+        self._last_sample = None if zones else self._last_sample
+        started = sum(ms is not None and before.get(name) != ms for name, ms in now.items())
+        return started, len(before.keys() - now.keys())
+
+    def _add_weight(self, listed: ListedEndpoint, sign: int) -> None:
         ring = self._rings.get(listed.zone)
         if ring is None:
             ring = self._rings[listed.zone] = Ring()
-        units = sign * int(max(0.0, listed.weight) * UNITS)
+        units = sign * int(max(0.0, listed.weight) * WEIGHT_UNITS)
         ring.units += units
         self._units += units
         self.count += sign
 
-    def _move(self, zones: dict[str, tuple[list[P], list[P]]]) -> None:
-        for zone, (left, came) in zones.items():
+    def _update_rings(self, zones: dict[str, tuple[list[P], list[P]]]) -> None:
+        for zone, (removed, added) in zones.items():
             ring = self._rings[zone]
             first = ring.members[0].key if ring.members else None
-            ring.change(left, came)
+            ring.change(removed, added)
             now = ring.members[0].key if ring.members else None
             if now != first:
                 if first is not None:
@@ -122,35 +126,44 @@
             if now is None:
                 del self._rings[zone]
 
-    def zones(self, own: str, place: float, most: int) -> list[tuple[list[P], float]]:
-        """The servers of each zone and its share of the weight: the own zone first, the others by their first
-        servers; of more than `most` zones so many from `place` (0 to 1) on."""
-        order = [zone for _, zone in self._from(place, most)]
-        if own in self._rings:
-            order = [own, *(zone for zone in order if zone != own)]
+    def zones(self, own_zone: str, position: float, max_zones: int) -> list[tuple[list[P], float]]:
+        """Return the servers of each zone and its share of the total weight.
+
+        The own zone comes first, the others are ordered by their first servers. Of more than `max_zones`
+        zones, that many are returned, from `position` (0 to 1) on.
+        """
+        order = [zone for _, zone in self._zones_from(position, max_zones)]
+        if own_zone in self._rings:
+            order = [own_zone, *(zone for zone in order if zone != own_zone)]
         total = self._units or 1
         return [(ring.members, ring.units / total) for ring in map(self._rings.__getitem__, order)]
 
-    def _from(self, place: float, most: int) -> list[tuple[Key, str]]:
-        start, count = int(place * len(self._order)), len(self._order)
-        return self._order if count <= most else [self._order[(start + i) % count] for i in range(most)]
+    def _zones_from(self, position: float, max_zones: int) -> list[tuple[Key, str]]:
+        start, count = int(position * len(self._order)), len(self._order)
+        return (
+            self._order
+            if count <= max_zones
+            else [self._order[(start + i) % count] for i in range(max_zones)]
+        )
+
+    def sample(self, position: float, max_servers: int) -> list[P]:
+        """Return all servers, ordered by number, or about `max_servers` of them.
 
-    def around(self, place: float, most: int) -> list[P]:
-        """All, by their numbers; of more than `most` about so many, zone by zone, from `place` on in each
-        ring, or from where turns have led to."""
-        if self._around is None:
+        A sample takes from each zone by its weight, from `position` on in each ring, moved on by `rotate`.
+        """
+        if self._last_sample is None:
             found: list[P] = []
-            place = (place + self._turn) % 1.0
-            for ring, share in self.zones("", place, most):
-                wanted = len(ring) if self.count <= most else min(len(ring), ceil(most * share))
-                start = int(place * len(ring))
+            position = (position + self._rotation) % 1.0
+            for ring, share in self.zones("", position, max_servers):
+                wanted = len(ring) if self.count <= max_servers else min(len(ring), ceil(max_servers * share))
+                start = int(position * len(ring))
                 found += ring[start : start + wanted]
                 found += ring[: max(0, start + wanted - len(ring))]
-            self._around = sorted(found, key=lambda e: e.number)
-        return self._around
-
-    def turn(self, most: int) -> None:
-        """Look on around, where there are more than `most`."""
-        if self.count > most:
-            self._turn = (self._turn + most / self.count) % 1.0
-            self._around = None
+            self._last_sample = sorted(found, key=lambda e: e.number)
+        return self._last_sample
+
+    def rotate(self, max_servers: int) -> None:
+        """Move the sample on along the rings, if there are more than `max_servers` servers."""
+        if self.count > max_servers:
+            self._rotation = (self._rotation + max_servers / self.count) % 1.0
+            self._last_sample = None
--- a/cloverrouter/membership/standing.py
+++ b/cloverrouter/membership/standing.py
@@ -1,10 +1,11 @@
-"""Whether this process itself stood still, and what that means for what it finds when it wakes. No I/O, no
-clock; times are seconds of one clock that counts a suspended machine, too (CLOCK_BOOTTIME).
+"""Detection of pauses of this process, and their effect on requests and timers. No I/O, no clock.
 
-A process that was stopped wakes in the middle of its line, and all that came meanwhile seems to come now.
-Taken for new, requests run that their clients gave up long ago; judged by timers, servers are blamed that
-have answered. So three things are told apart: when something came, as far as that can be known; for how long
-this process ran; and what the time is.
+Times are seconds of one clock that runs on while the machine is suspended (CLOCK_BOOTTIME).
+
+A paused process resumes in the middle of its code, and all data that arrived meanwhile seems to arrive then.
+Treated as new, requests run although their clients gave them up long ago; judged by timers, servers that have
+answered seem to have timed out. So three times are kept apart: the arrival of the data, as far as it can be
+known; the time for which this process ran; and the current time.
 """
 
 from __future__ import annotations
@@ -17,112 +18,118 @@
 from cloverrouter.interface import Idempotency
 from cloverrouter.values import Value
 
-# The loop is at its sockets every 50 ms, whatever happens (`lag.LAG_EVERY_S`), and late past `LATE_S`. What
-# is read may have waited since the time before: past `FRESH_S` it is asked how long.
-FRESH_S = 0.06
-LATE_S = 0.075
-# The kernel counts how long ago a connection's last data came in its ticks, which are 10 ms at the most.
-COARSE_S = 0.01
-OWN_SHARE = 0.5  # of a gap that this process used of the processor itself: then it was its own long step
-# Gaps that follow one another like this are a share of the processor that is gone.
+# A timer makes the loop poll its sockets at least every 50 ms (`lag.LAG_PERIOD_S`); a poll is late after
+# `LATE_POLL_S`. Data may have waited since the previous poll: after `READ_AGE_CHECK_S` the kernel is asked
+# how long.
+READ_AGE_CHECK_S = 0.06
+LATE_POLL_S = 0.075
+# The kernel counts the age of a connection's last data in its ticks, which are 10 ms at most.
+KERNEL_TICK_S = 0.01
+OWN_CPU_SHARE = 0.5  # least CPU time of this process, as a share of a gap, that makes it its own long step
+# As many gaps within this time mean that the process is starved of CPU time.
 STARVED_GAPS, STARVED_SPAN_S = 3, 1.0
-TOLD_S = 0.2  # gaps from here on are worth a line
-ALARM_S, ALARM_KEPT_S = 1.0, 60.0  # operators should look, and for so long it is shown
+GAP_LOG_THRESHOLD_S = 0.2  # gaps from this length on are logged
+ALARM_GAP_S, ALARM_DURATION_S = (
+    1.0,
+    60.0,
+)  # gaps from this length on raise an alarm, which is shown for this long
 
 
-C = TypeVar("C", bound="Came")
+C = TypeVar("C", bound="DelayedRequest")
 
 
-class Cause(Enum):
+class PauseCause(Enum):
     STOPPED = "stopped"  # by a signal, or with its machine
-    STARVED = "starved"  # others had the processor
-    STEP = "own step"  # it was busy itself
+    STARVED = "starved"  # other processes used the CPU
+    STEP = "own step"  # this process was busy itself
 
 
-class Gap(Value):
-    """From one time that the loop looked at its sockets to the next one, too late."""
+class LoopGap(Value):
+    """Time between two polls of the event loop, of which the second was late."""
 
     from_s: float
     to_s: float
-    cause: Cause
+    cause: PauseCause
 
     @property
     def span_s(self) -> float:
         return self.to_s - self.from_s
 
-    def holds(self, at_s: float) -> bool:
+    def contains(self, at_s: float) -> bool:
         return self.from_s <= at_s <= self.to_s
 
 
-class Standing:
-    """The gaps of one process."""
+class PauseTracker:
+    """Record of the pauses of one process."""
 
     def __init__(self) -> None:
-        self.stood_s = 0.0  # in all
+        self.paused_s = 0.0  # total
         self.count = 0
-        self.longest: Gap | None = None
-        self.last: Gap | None = None
+        self.longest: LoopGap | None = None
+        self.last: LoopGap | None = None
         self._ends: deque[float] = deque(maxlen=STARVED_GAPS)
 
-    def late(self, from_s: float, to_s: float, cpu_s: float) -> Gap:
-        """The loop was last at its sockets at `from_s`, and used `cpu_s` of the processor since."""
+    def record_gap(self, from_s: float, to_s: float, cpu_s: float) -> LoopGap:
+        """Record a late poll. The previous poll was at `from_s`; `cpu_s` is the CPU time used since."""
         span_s = to_s - from_s
         self._ends.append(to_s)
-        cause = Cause.STOPPED
-        if cpu_s >= OWN_SHARE * span_s:
-            cause = Cause.STEP
+        cause = PauseCause.STOPPED
+        if cpu_s >= OWN_CPU_SHARE * span_s:
+            cause = PauseCause.STEP
         elif len(self._ends) == STARVED_GAPS and from_s - self._ends[0] <= STARVED_SPAN_S:
-            cause = Cause.STARVED
-        gap = self.last = Gap(from_s, to_s, cause)
-        self.stood_s += span_s
+            cause = PauseCause.STARVED
+        gap = self.last = LoopGap(from_s, to_s, cause)
+        self.paused_s += span_s
         self.count += 1
         if self.longest is None or span_s > self.longest.span_s:
             self.longest = gap
         return gap
 
-    def ran_out(self, due_s: float) -> bool:
-        """Did this moment, which is over, fall into the time in which nobody was here to see it? Danger: what
-        ran out then tells nothing about whom it waited for."""
-        return self.last is not None and self.last.holds(due_s)
+    def passed_in_last_gap(self, due_s: float) -> bool:
+        """Whether a past time was in the last gap. A timeout that ended then says nothing about the peer."""
+        return self.last is not None and self.last.contains(due_s)
 
     def alarm(self, now_s: float) -> str | None:
-        """What operators should look at."""
-        last = self.longest
-        if self.last is not None and self.last.span_s >= ALARM_S:
-            last = self.last
-        if last is None or last.span_s < ALARM_S or now_s - last.to_s > ALARM_KEPT_S:
+        """Alarm text for operators, or None."""
+        gap = self.longest
+        if self.last is not None and self.last.span_s >= ALARM_GAP_S:
+            gap = self.last
+        if gap is None or gap.span_s < ALARM_GAP_S or now_s - gap.to_s > ALARM_DURATION_S:
             return None
-        return f"stood still {last.span_s:.1f} s, {now_s - last.to_s:.0f} s ago ({last.cause.value})"
+        return f"stood still {gap.span_s:.1f} s, {now_s - gap.to_s:.0f} s ago ({gap.cause.value})"
 
 
-def arrival(
-    now_s: float, since_s: float, age_s: float | None, ends_there: bool, slept_s: float = 0.0
+def arrival_bounds(
+    now_s: float, since_s: float, age_s: float | None, is_last_data: bool, suspended_s: float = 0.0
 ) -> tuple[float, float]:
-    """Between which times a request's last byte came that is read now, and not before `since_s`.
+    """Return the earliest and latest time at which the last byte of a request arrived that is read now.
 
-    `age_s`: how long ago the connection's last data came, where the kernel tells, by a clock that does not
-    count `slept_s`, for which the machine was suspended; `ends_there`: the request's last byte was the last
-    of that. Without, all that is known are the two ends of the gap.
+    It did not arrive before `since_s`. `age_s`: age of the connection's last data as the kernel reports it,
+    by a clock that does not count `suspended_s`, for which the machine was suspended. `is_last_data`: the
+    last byte of the request was the last of that data. Without `age_s` only the ends of the gap are known.
     """
     if age_s is None:
         return since_s, now_s
     latest_s = min(now_s, max(since_s, now_s - age_s))
-    return (max(since_s, latest_s - COARSE_S - slept_s) if ends_there else since_s), latest_s
+    return (max(since_s, latest_s - KERNEL_TICK_S - suspended_s) if is_last_data else since_s), latest_s
 
 
-class Came(Protocol):
-    """What came while the process stood."""
+class DelayedRequest(Protocol):
+    """A request that arrived while the process was paused."""
 
     class_name: str
     arrived_ms: float
 
 
-def by_worth(came: Iterable[C], worths: Mapping[str, float]) -> list[C]:
-    """In which order what waited goes on: the most valuable first, and of equals the one that came first."""
-    return sorted(came, key=lambda one: (-worths.get(one.class_name, 0.0), one.arrived_ms))
+def sort_by_worth(requests: Iterable[C], worths: Mapping[str, float]) -> list[C]:
+    """Order delayed requests by worth, highest first, then by arrival."""
+    return sorted(requests, key=lambda request: (-worths.get(request.class_name, 0.0), request.arrived_ms))
+
 
+def deadline_start_s(idempotency: Idempotency | None, arrival: tuple[float, float]) -> float:
+    """Return the time from which a request's deadline counts.
 
-def counted_from(effect: Idempotency | None, came: tuple[float, float]) -> float:
-    """From when on a request's time counts. One that has an effect goes on only if it surely has time: its
-    client may have come again, as another request. One that only reads may be of use yet."""
-    return came[1] if effect is Idempotency.SAFE else came[0]
+    A request with effects counts from its earliest possible arrival, so it proceeds only if it surely has
+    time left: its client may already have retried it as another request. A safe one may still be of use.
+    """
+    return arrival[1] if idempotency is Idempotency.SAFE else arrival[0]
--- a/cloverrouter/proxy/__init__.py
+++ b/cloverrouter/proxy/__init__.py
@@ -1,1 +1,1 @@
-"""The real client proxy: the decisions of ``decide.py`` on sockets. Start it with ``python -m``."""
+"""Client proxy: executes the decisions of ``decide.py`` on sockets. Started with ``python -m``."""
--- a/cloverrouter/proxy/__main__.py
+++ b/cloverrouter/proxy/__main__.py
@@ -1,4 +1,4 @@
-"""Starts one client proxy. What takes long to load comes after what another process must hear at once."""
+"""Start one client proxy; slow imports come after this process has become visible to a running one."""
 
 from __future__ import annotations
 
@@ -11,16 +11,18 @@
 
 from cloverrouter.proxy.presence import Presence
 
-# In an upgrade this process shares its core with one that serves. That one looks for company ten times a
-# second, and then leaves more connections free for what comes while it has to wait for the core.
-HEARD_S = 0.25
-# About a tenth of a core that another process uses up; all of what it leaves.
-NICE = 10
+# In an upgrade this process shares a core with one that serves. That one looks for other processes ten times
+# a second, and then keeps more connections free for requests that arrive while it waits for the core.
+DETECTION_DELAY_S = 0.25
+# Gets about a tenth of a core that another process keeps busy, and all of an idle one.
+LOADER_NICE = 10
 
 
-def load_without_tls() -> None:
-    """asyncio without `ssl`, which it can do without (its loops refuse TLS then), and which takes an eighth
-    of its time to load. What needs TLS is turned on by the operators' file alone: with one, nothing is done.
+def import_asyncio_without_tls() -> None:
+    """Import asyncio without `ssl`, which is optional for it and takes an eighth of its import time.
+
+    Its loops then reject TLS. Only extensions in the operators' file need TLS: with such a file, this
+    function does nothing.
     """
     if os.environ.get("PROXY_SITE") or "asyncio" in sys.modules:
         return
@@ -31,15 +33,16 @@
         del sys.modules["ssl"]
 
 
-def load_gently() -> None:
-    """Load the program with a low priority, which belongs to the thread that does it and ends with it.
+def load_at_low_priority() -> None:
+    """Import the program in a thread of low priority; on Linux setpriority(2) applies to a single thread.
 
-    Danger: loading takes a quarter of a second of the core, in which the process that serves answers nobody.
+    The imports take a quarter of a second of CPU time, in which the serving process on the same core would
+    answer no requests.
     """
 
     def load() -> None:
-        os.setpriority(os.PRIO_PROCESS, threading.get_native_id(), NICE)
-        load_without_tls()
+        os.setpriority(os.PRIO_PROCESS, threading.get_native_id(), LOADER_NICE)
+        import_asyncio_without_tls()
         import cloverrouter.management
         import cloverrouter.proxy.service  # noqa: F401
 
@@ -49,17 +52,17 @@
 
 
 def main() -> int:
-    # Its default action would end the process while it loads; `service.main` remembers it from its start on.
+    # The default action would end the process during its imports; `service.main` handles SIGHUP from then on.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     presence = None
-    # Danger: what is loaded stays for good, and the collector would walk through it again and again.
+    # Imported modules are never freed, and each garbage collection would traverse them again.
     gc.disable()
     if os.environ.get("PROXY_INHERITED_FD"):
-        presence = Presence.found(os.environ.get("TMPDIR"))
-        if presence is not None and presence.others():
-            time.sleep(HEARD_S)
-            load_gently()
-    load_without_tls()
+        presence = Presence.open_if_usable(os.environ.get("TMPDIR"))
+        if presence is not None and presence.has_others():
+            time.sleep(DETECTION_DELAY_S)
+            load_at_low_priority()
+    import_asyncio_without_tls()
     from cloverrouter.proxy.service import main as serve
 
     gc.enable()
--- a/cloverrouter/proxy/accept_rules.py
+++ b/cloverrouter/proxy/accept_rules.py
@@ -1,30 +1,37 @@
-"""How long connections may be left in the listener's queue. No I/O; times are in seconds of one clock.
+"""Limits on how long connections may be left in the listen queue. No I/O; times are seconds of one clock.
 
-A request in that queue has been taken, as its client sees it, and nobody can answer it there: its time runs
-out unseen. Leaving it there is right only for the moment in which others are certain to make room for it.
+The kernel has completed the handshake of a connection in that queue, so its client may have sent a request
+that the proxy can't answer yet and whose deadline runs. Deferring accept(2) is acceptable only for the short
+time in which other connections are certain to free capacity.
 """
 
 from __future__ import annotations
 
-# Some of the requests that servers have are answered in this time. Clients give up a few hundredths of a
-# second after their own time, which may be as short.
-MOST_DEFERRED_S = 0.05
-# A process that is held up again and again would leave them there again and again.
-DEFERRED_AGAIN_S = 1.0
-# After a long pause what is over makes room as it is read: those that still have time may wait longer.
-DEFERRED_PART, MOST_DEFERRED_LONG_S = 8, 0.75  # so small a part of the pause, and no longer
+# Servers answer some of the requests in flight within this time. Clients give up a few hundredths of a second
+# after their own timeout, which may be as short.
+MAX_DEFERRAL_S = 0.05
+# Minimum time between two deferrals; without it, a process that is paused repeatedly would defer each time.
+DEFERRAL_INTERVAL_S = 1.0
+# After a long pause, expired requests free their connections as soon as they are read, so requests that still
+# have time may wait longer: for this fraction of the pause, up to the maximum.
+PAUSE_DEFERRAL_DIVISOR, MAX_DEFERRAL_AFTER_PAUSE_S = 8, 0.75
 
 
 class AcceptDeferral:
-    """Whether accepting may wait for room: for `MOST_DEFERRED_S`, and then not for `DEFERRED_AGAIN_S`."""
+    """Rate limit on deferring accept(2): for `MAX_DEFERRAL_S`, at most once per `DEFERRAL_INTERVAL_S`.
+
+    After a long pause a deferral may last longer, up to `MAX_DEFERRAL_AFTER_PAUSE_S`.
+    """
 
     def __init__(self) -> None:
         self._began_s = float("-inf")
 
     def allows(self, now_s: float, pause_s: float = 0.0) -> bool:
-        """May it wait now? The first call begins the time for which it may. `pause_s`: how long the process
-        has just been paused."""
-        if now_s - self._began_s >= DEFERRED_AGAIN_S:
+        """Return whether accepting may be deferred now; the first call starts the deferral period.
+
+        `pause_s`: duration of a process pause that has just ended.
+        """
+        if now_s - self._began_s >= DEFERRAL_INTERVAL_S:
             self._began_s = now_s
-        longer_s = min(MOST_DEFERRED_LONG_S, pause_s / DEFERRED_PART)
-        return now_s - self._began_s < max(MOST_DEFERRED_S, longer_s)
+        after_pause_s = min(MAX_DEFERRAL_AFTER_PAUSE_S, pause_s / PAUSE_DEFERRAL_DIVISOR)
+        return now_s - self._began_s < max(MAX_DEFERRAL_S, after_pause_s)
--- a/cloverrouter/proxy/admission.py
+++ b/cloverrouter/proxy/admission.py
@@ -1,6 +1,6 @@
-"""The admission seam: before a call reaches the module, may it be taken at all?
+"""Interface for admission control ahead of the balancer's decisions.
 
-Asked for each call at the moment of taking. With none set, the cost is one comparison.
+It is consulted for each call when the call is accepted. With none set, the cost is one comparison.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 class Admission(Protocol):
     def refusal(self) -> str:
-        """Why no call is taken now; empty if calls are. Must not block."""
+        """Return the reason why calls are refused now, or "" if they are accepted. Must not block."""
 
     def retry_after_ms(self) -> float:
-        """When a client that was refused should come back."""
+        """Return the delay, in milliseconds, after which a refused client should retry."""
--- a/cloverrouter/proxy/carrier.py
+++ b/cloverrouter/proxy/carrier.py
@@ -1,4 +1,4 @@
-"""What carries attempts to servers, as the node knows it: over sockets, HTTP/3 or a simulated network."""
+"""The interface through which the node sends attempts to servers: sockets, HTTP/3 or a simulated network."""
 
 from __future__ import annotations
 
@@ -6,32 +6,32 @@
 from collections.abc import Set as AbstractSet
 from typing import Protocol
 
-from cloverrouter.interface import Sign
+from cloverrouter.interface import ConnectionSignal
 from cloverrouter.proxy.exchange import Host, OnBegin, OnEnd
 from cloverrouter.proxy.messages import Call
 
 
-class Sent(Protocol):
-    """An attempt as its carrier has it."""
+class SentAttempt(Protocol):
+    """An attempt that a carrier has started."""
 
     @property
     def written(self) -> bool:
-        """Has its last byte been handed over? From then on it may have run."""
+        """Whether its last byte was handed to the transport. From then on the server may have run it."""
 
     @property
     def begun(self) -> bool:
-        """Has its first byte been handed over?"""
+        """Whether its first byte was handed to the transport."""
 
     @property
-    def sign(self) -> Sign | None:
-        """What its connection showed, if that did not come up."""
+    def signal(self) -> ConnectionSignal | None:
+        """The connection signal, if its connection could not be established."""
 
     def abandon(self) -> None:
-        """Give it up, and tell nobody."""
+        """Cancel the attempt without calling `on_end`."""
 
 
 class Carrier(Protocol):
-    """What takes attempts to hosts; `Upstream` on sockets."""
+    """Sends attempts to hosts; `Upstream` does so over sockets."""
 
     def send(
         self,
@@ -41,11 +41,12 @@
         on_end: OnEnd,
         on_begin: OnBegin | None = None,
         on_open: Callable[[], None] | None = None,
-    ) -> Sent:
-        """Start an attempt; with `on_open` on a new connection, which is told of when it is up."""
+    ) -> SentAttempt:
+        """Start an attempt; with `on_open` on a new connection, called once that is established."""
 
     def keep_only(self, wanted: AbstractSet[Host]) -> None:
-        """`wanted` is asked for the hosts that are connected to, and not walked over."""
+        """Drop the hosts that are not in `wanted`, which is looked up for each connected host and never
+        iterated: it may hold thousands."""
 
-    def open_ahead(self, host: Host) -> None:
-        """Connect once to a host that has just been listed."""
+    def preconnect(self, host: Host) -> None:
+        """Open one connection to a newly listed host."""
--- a/cloverrouter/proxy/client_answers.py
+++ b/cloverrouter/proxy/client_answers.py
@@ -1,4 +1,4 @@
-"""Answers to clients as bytes of HTTP/1.1 (RFC 9112): whole, or passed on as they come."""
+"""Encode answers to clients in HTTP/1.1 (RFC 9112), buffered or streamed."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def encode_answer(status: int, body: bytes, headers: bytes, close: bool) -> bytes:
-    """A whole answer; `headers`: more lines of its head; `close`: it is the last one on its connection."""
+    """Return a complete answer; `headers`: additional header lines; `close`: the connection ends with it."""
     return b"HTTP/1.1 %d %b\r\n%bContent-Length: %d\r\n%b\r\n%b" % (
         status,
         REASONS.get(status, b"Error"),
@@ -37,8 +37,8 @@
     )
 
 
-def encode_long_head(answer: Answer, headers: bytes, chunked: bool, close: bool) -> bytes:
-    """The head of an answer that is passed on as it comes; `headers`: more lines of it."""
+def encode_stream_head(answer: Answer, headers: bytes, chunked: bool, close: bool) -> bytes:
+    """Return the head of a streamed answer; `headers`: additional header lines."""
     kind = b"Content-Type: %b\r\n" % answer.content_type if answer.content_type else b""
     framing = b"Transfer-Encoding: chunked\r\n" if chunked else b""
     if answer.length is not None:
@@ -47,22 +47,22 @@
     return b"HTTP/1.1 200 OK\r\n%b%b%b%b\r\n" % (kind, headers, framing, end)
 
 
-class LongAnswer:
-    """A long answer on its way to a client: an `AnswerSink`."""
+class StreamedAnswer:
+    """The `AnswerSink` of an answer that is streamed to an HTTP/1.x client."""
 
-    def __init__(self, client: ClientConnection, chunked: bool, close: bool, shows_its_end: bool) -> None:
-        """`shows_its_end`: its framing tells where it ends, and not the connection's end."""
+    def __init__(self, client: ClientConnection, chunked: bool, close: bool, self_delimited: bool) -> None:
+        """`self_delimited`: the framing marks where the body ends, not the end of the connection."""
         self._client, self._chunked, self._close = client, chunked, close
-        self._shows_its_end = shows_its_end
+        self._self_delimited = self_delimited
         self.on_ready: Callable[[], None] | None = None
 
     def write(self, data: bytes) -> bool:
-        return self._client.pass_on(b"%x\r\n%b\r\n" % (len(data), data) if self._chunked else data)
+        return self._client.write_stream(b"%x\r\n%b\r\n" % (len(data), data) if self._chunked else data)
 
     def finish(self) -> None:
         if self._chunked:
-            self._client.pass_on(b"0\r\n\r\n")
-        self._client.passed(self._close)
+            self._client.write_stream(b"0\r\n\r\n")
+        self._client.finish_stream(self._close)
 
-    def cut(self) -> None:
-        self._client.cut(self._shows_its_end)
+    def abort(self) -> None:
+        self._client.abort_stream(self._self_delimited)
--- a/cloverrouter/proxy/client_call.py
+++ b/cloverrouter/proxy/client_call.py
@@ -1,4 +1,4 @@
-"""A request of a client on HTTP/1.1, as the decisions' side knows it."""
+"""A client's HTTP/1.x request in the form that the node handles."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 
 class ClientCall(ParsedCall):
-    """One request on a client's connection, which its answer goes back on."""
+    """One request on a client's connection; its answer is written to the same connection."""
 
-    __slots__ = ("_client", "keep_alive", "old", "upload")
+    __slots__ = ("_client", "keep_alive", "lacks_chunking", "upload")
 
     def __init__(
         self, client: ClientConnection, method: bytes, target: bytes, head: Mapping[bytes, bytes], body: bytes
@@ -23,7 +23,7 @@
         super().__init__(method, target, head, body)
         self._client = client
         self.keep_alive = True
-        self.old = False  # HTTP/1.0: knows no chunks
+        self.lacks_chunking = False  # HTTP/1.0 has no chunked transfer coding
         self.upload: Upload | None = None
 
     def reply(self, status: int, body: bytes, content_type: bytes = b"", retry_after: bytes = b"") -> None:
@@ -32,8 +32,8 @@
             headers += b"Retry-After: %b\r\n" % retry_after
         self._client.answer(self, status, body, headers)
 
-    def left(self) -> bool:
-        return self._client.left(self)
+    def is_disconnected(self) -> bool:
+        return self._client.check_disconnected(self)
 
     def begin(self, answer: Answer) -> AnswerSink | None:
-        return self._client.begin(self, answer)
+        return self._client.begin_stream(self, answer)
--- a/cloverrouter/proxy/config.py
+++ b/cloverrouter/proxy/config.py
@@ -1,6 +1,7 @@
-"""Environment and JSON to typed settings. The only place that knows the names of the configuration.
+"""Parse the environment and the JSON configuration file into typed settings.
 
-``settings`` has the form of the simulator's first message, so the adapter reads it with this, too.
+The configuration's key names are known to this module alone. ``settings`` has the form of the simulator's
+first message, so the simulator adapter parses it with this module, too.
 """
 
 from __future__ import annotations
@@ -17,10 +18,10 @@
 from cloverrouter.interface import (
     EndpointState,
     Idempotency,
+    IdempotencyScope,
     Limits,
     ListedEndpoint,
     Prices,
-    RepeatScope,
     RequestClass,
     Safety,
     Settings,
@@ -41,71 +42,73 @@
 DEFAULT_IDLE_MS = 15_000.0
 DEFAULT_SOCKETS = 256
 DEFAULT_MEMORY_MB = 64.0
-OF_EFFECT = ("group", "window_ms")  # of a class: only a keyed one has them
-# What SIGHUP does not change, by where it stands in the file: the process counts on it from its start.
-FIXED = (
+KEYED_ONLY_KEYS = ("group", "window_ms")  # keys of a class that only idempotency by key needs
+# Paths of the keys that a reload by SIGHUP does not change: the process relies on their values at its start.
+RESTART_ONLY_PATHS = (
     ("name",), ("listen",), ("limits",), ("peer_listen",), ("peers",), ("peers_all",), ("management",),
     ("settings", "zone"), ("settings", "balancers"), ("settings", "ordinal"), ("settings", "discovery"),
 )  # fmt: skip
-CLIENTS_SHARE = 1 / 3  # of the descriptors at most are held by clients for requests
-MOST = 1e15  # no figure is larger, and sums and products of some such are exact enough
-MOST_WHOLE = 2.0**63  # nor version, cell or time of a start
-LEAST_MS = 0.001  # of times that others are divided by
-MOST_PROXIES = 1_000_000
-NO_VERSION = -1  # of a list that can't be gone on from
+CLIENT_SHARE = 1 / 3  # maximum share of the descriptors that client connections with requests use
+MAX_NUMBER = 1e15  # sums and products of a few such numbers are still exact enough
+MAX_INTEGER = 2.0**63  # of versions, cells and start times
+MIN_DIVISOR_MS = 0.001  # of durations that are used as divisors
+MAX_PROXIES = 1_000_000
+NO_VERSION = -1  # of a list that later changes can't be applied to
 log = logging.getLogger(__name__)
 
 
 class StartError(Exception):
-    """What the operators' file turns on can't be started; the text names the table and the reason."""
+    """A part that the operators' file enables can't start; the message names the table and the reason."""
 
 
 # Settings
 
 
-def read_class(facts: Json, path: str = "categories[]") -> RequestClass:
+def read_class(fields: Json, path: str = "categories[]") -> RequestClass:
     return RequestClass(
-        name=_text(facts["name"]),
-        aim_ms=_span_ms(facts, path, "aim_ms"),
-        deadline_ms=_span_ms(facts, path, "deadline_ms"),
-        worth=_field(float, facts, path, "worth", 1.0),
-        late_worth=_field(float, facts, path, "late_worth", 0.0),
-        aim_stretch=_field(float, facts, path, "aim_stretch", 0.0, least=0.0),
-        idempotency=IDEMPOTENCY[facts["effect"]],
-        repeat_scope=RepeatScope(facts.get("group", "all")),
-        repeat_window_ms=_field(float, facts, path, "window_ms", 0.0, least=0.0),
-        streamed=_flag(facts, path, "stream"),
+        name=_text(fields["name"]),
+        aim_ms=_divisor_ms(fields, path, "aim_ms"),
+        deadline_ms=_divisor_ms(fields, path, "deadline_ms"),
+        worth=_field(float, fields, path, "worth", 1.0),
+        late_worth=_field(float, fields, path, "late_worth", 0.0),
+        aim_stretch=_field(float, fields, path, "aim_stretch", 0.0, least=0.0),
+        idempotency=IDEMPOTENCY[fields["effect"]],
+        idempotency_scope=IdempotencyScope(fields.get("group", "all")),
+        idempotency_window_ms=_field(float, fields, path, "window_ms", 0.0, least=0.0),
+        streamed=_flag(fields, path, "stream"),
     )
 
 
-def read_settings(facts: Json, most_open: int = 0) -> Settings:
-    """`most_open`: the requests that clients have connections for; 0 where there are no connections.
+def read_settings(fields: Json, max_open: int = 0) -> Settings:
+    """Parse `settings`; raises ValueError, KeyError or TypeError.
 
-    Every figure is checked here. Danger: one of another type or size would be found out by the decisions,
-    in the middle of a request, and end the process.
+    `max_open`: the number of client connections for requests; 0 where there are no connections.
+
+    The type and range of every number are checked here: a wrong one would otherwise raise an error in the
+    decisions, in the middle of a request, and end the process.
     """
     return Settings(
-        classes=tuple(read_class(c, f"categories[{i}]") for i, c in enumerate(facts["categories"])),
-        zone=_text(facts.get("zone", "")),
-        proxies=_field(int, facts, "", "balancers", most=MOST_PROXIES),
-        number=None if facts.get("ordinal") is None else _field(int, facts, "", "ordinal", least=0),
-        subscribe=facts.get("discovery") == "subscribe",
-        report_fields=tuple(_text(name) for name in facts.get("reporting", {}).get("fields", ())),
-        worth_by_work=facts.get("counted_by") == "work",
-        limits=_read_limits(facts["bounds"], most_open),
-        safety=_read_safety(facts["safety"]),
-        prices=_read_prices(facts.get("prices", {})),
+        classes=tuple(read_class(c, f"categories[{i}]") for i, c in enumerate(fields["categories"])),
+        zone=_text(fields.get("zone", "")),
+        proxies=_field(int, fields, "", "balancers", most=MAX_PROXIES),
+        number=None if fields.get("ordinal") is None else _field(int, fields, "", "ordinal", least=0),
+        subscribe=fields.get("discovery") == "subscribe",
+        report_fields=tuple(_text(name) for name in fields.get("reporting", {}).get("fields", ())),
+        worth_by_work=fields.get("counted_by") == "work",
+        limits=_read_limits(fields["bounds"], max_open),
+        safety=_read_safety(fields["safety"]),
+        prices=_read_prices(fields.get("prices", {})),
         tenants=tuple(
             Tenant(_text(t["name"]), _field(float, t, f"projects[{i}]", "quota_per_s", least=0.0))
-            for i, t in enumerate(facts.get("projects", ()))
+            for i, t in enumerate(fields.get("projects", ()))
         ),
-        over_quota_worth=_field(float, facts, "", "over_share_worth", 1.0),
+        over_quota_worth=_field(float, fields, "", "over_share_worth", 1.0),
     )
 
 
 def _read_limits(bounds: Json, most_open: int) -> Limits:
     return Limits(
-        max_attempts=_whole(bounds["max_attempts"]),
+        max_attempts=_integer(bounds["max_attempts"]),
         parallel_attempts=_flag(bounds, "bounds", "parallel_tries"),
         cancel=_flag(bounds, "bounds", "cancel"),
         probes=_flag(bounds, "bounds", "probes"),
@@ -120,9 +123,9 @@
     return Safety(
         cold_share=_field(float, safety, "safety", "cold_share"),
         cold_ms=_field(float, safety, "safety", "cold_ms", least=0.0),
-        push_multiple=_field(float, safety, "safety", "fall_multiple"),
-        push_window_ms=_field(float, safety, "safety", "fall_ms"),
-        must_ask_ms=_field(float, safety, "safety", "must_ask_in_ms", least=0.0),
+        overload_multiple=_field(float, safety, "safety", "fall_multiple"),
+        overload_window_ms=_field(float, safety, "safety", "fall_ms"),
+        discovery_poll_ms=_field(float, safety, "safety", "must_ask_in_ms", least=0.0),
         drain_grace_ms=_field(float, safety, "safety", "drain_grace_ms", 1000.0, least=0.0),
     )
 
@@ -141,7 +144,7 @@
 
 class HostEntry(Value):
     listed: ListedEndpoint
-    address: Address | None  # None: it has left
+    address: Address | None  # None: removed from the list
 
 
 class HostList(Value):
@@ -151,9 +154,10 @@
 
 
 class UnixClock:
-    """Turns discovery's Unix times into the module's monotonic ones.
+    """Converts discovery's Unix times to the monotonic times of the decisions.
 
-    The offset is taken once: the module takes a changed start for a new process.
+    The offset is measured once: with a changing one, start times would change, and the decisions take a
+    changed start time for a new server process.
     """
 
     def __init__(self) -> None:
@@ -165,12 +169,12 @@
 
 def read_address(text: str) -> Address:
     host, _, port = text.rpartition(":")
-    try:  # there is no DNS: a name would block on look-ups that can't succeed
+    try:  # host names are rejected: there is no DNS, and a lookup would block until it fails
         socket.inet_pton(socket.AF_INET6 if ":" in host else socket.AF_INET, host)
     except OSError:
-        raise ValueError(f"no IP address: {text!r}; right is such as 127.0.0.1:3000") from None
+        raise ValueError(f"not an IP address: {text!r}; right is such as 127.0.0.1:3000") from None
     if not 0 < int(port) < 65536:
-        raise ValueError(f"no port: {text!r}")
+        raise ValueError(f"not a port from 1 to 65535: {text!r}")
     return host, int(port)
 
 
@@ -179,82 +183,83 @@
     listed = ListedEndpoint(
         name=_text(entry["id"]),
         zone=_text(entry.get("zone", "")),
-        cell=_number(int, entry.get("cell", 0), -MOST_WHOLE, MOST_WHOLE),
+        cell=_number(int, entry.get("cell", 0), -MAX_INTEGER, MAX_INTEGER),
         weight=_number(float, entry.get("weight", 1.0)),
         state=state,
-        started_ms=clock.monotonic_ms(_number(float, entry.get("started_ms", 0), -MOST_WHOLE, MOST_WHOLE)),
+        started_ms=clock.monotonic_ms(_number(float, entry.get("started_ms", 0), -MAX_INTEGER, MAX_INTEGER)),
     )
     return HostEntry(listed, None if state is EndpointState.GONE else read_address(entry["addr"]))
 
 
 def read_list(message: Any, clock: UnixClock, known: dict[str, HostEntry] | None = None) -> HostList:
-    """Raises ValueError for anything but a whole list: half of one is never applied.
+    """Parse a list of hosts; raises ValueError unless it is complete: a partial list is never applied.
 
-    `known`: entries by name, as last read. Those that come again are the same objects, and it is brought up
-    to date. Danger: whole lists of thousands, made anew each time, leave memory in pieces that stay.
+    `known`: entries by name, as last read; updated here. Unchanged entries are returned as the same objects:
+    allocating full lists of thousands of entries each time would fragment the memory.
     """
     try:
-        entries = tuple(_same(read_entry(entry, clock), known) for entry in message["servers"])
-        version = _number(int, message["version"], -MOST_WHOLE, MOST_WHOLE)
-        found = HostList(version, message["full"] is True, entries)
+        entries = tuple(_reuse_unchanged(read_entry(entry, clock), known) for entry in message["servers"])
+        version = _number(int, message["version"], -MAX_INTEGER, MAX_INTEGER)
+        listing = HostList(version, message["full"] is True, entries)
     except (KeyError, TypeError, AttributeError) as error:
         raise ValueError(f"not a list of hosts: {error!r}") from error
     if known is not None:
-        if found.full:
+        if listing.full:
             known.clear()
         for entry in entries:
             if entry.address is None:
                 known.pop(entry.listed.name, None)
             else:
                 known[entry.listed.name] = entry
-    return found
+    return listing
 
 
-def _same(entry: HostEntry, known: dict[str, HostEntry] | None) -> HostEntry:
+def _reuse_unchanged(entry: HostEntry, known: dict[str, HostEntry] | None) -> HostEntry:
     before = known.get(entry.listed.name) if known else None
     return before if before is not None and before == entry else entry
 
 
 def read_known(message: Any, clock: UnixClock) -> HostList | None:
-    """The list that the platform remembers, as far as it can be read; None for one with no server to use.
+    """Parse the last known list that the platform stores; None if it has no ready server.
 
-    Danger: one spoilt entry among thousands, in a file that nobody wrote by hand, would keep a proxy from
-    starting again. It is left out and named, and discovery is asked for the whole list (`NO_VERSION`).
+    Malformed entries are left out, the first is logged, and discovery is asked for the full list
+    (`NO_VERSION`): otherwise one malformed entry among thousands, in a file that no person wrote, would keep
+    a proxy from restarting.
     """
     if not message:
         return None
     try:
-        found = read_list(message, clock)
+        listing = read_list(message, clock)
     except ValueError as error:
         servers = message.get("servers") if isinstance(message, dict) else None
         if not isinstance(servers, list):
             text = 'right is {"version": 1, "full": true, "servers": [...]}'
             log.error("known is left out, discovery is asked: %s; %s", error, text)
             return None
-        entries, spoilt = [], []
-        for told in servers:
+        entries, malformed = [], []
+        for item in servers:
             try:
-                entries.append(read_entry(told, clock))
+                entries.append(read_entry(item, clock))
             except (KeyError, TypeError, AttributeError, ValueError) as wrong:
-                spoilt.append(f"{told!r:.120}: {type(wrong).__name__}: {wrong}")
-        text = spoilt[0] if spoilt else str(error)
-        log.error("known: %d of %d entries are left out, the first: %s", len(spoilt), len(servers), text)
-        found = HostList(NO_VERSION, True, tuple(entries))
-    # Danger: with nobody to send to, it is ready when discovery has answered, and must not wait to ask.
-    return found if any(entry.listed.state is EndpointState.READY for entry in found.entries) else None
+                malformed.append(f"{item!r:.120}: {type(wrong).__name__}: {wrong}")
+        text = malformed[0] if malformed else str(error)
+        log.error("known: %d of %d entries are left out, the first: %s", len(malformed), len(servers), text)
+        listing = HostList(NO_VERSION, True, tuple(entries))
+    # Without a ready server the proxy becomes ready only when discovery has answered: it must ask at once.
+    return listing if any(entry.listed.state is EndpointState.READY for entry in listing.entries) else None
 
 
 def read_departures(message: Any, clock: UnixClock) -> HostList | None:
-    """Of a list that can't be read whole: the hosts that it says are to be left, as changes; None for none.
+    """Return the draining and removed hosts of a malformed list, as changes; None if there are none.
 
-    Danger: an entry that is spoilt would cost the drain that is told beside it. What else it says waits for a
-    list that can be read.
+    A malformed entry must not delay the drain that another entry of the same list announces. The other
+    entries are ignored until a list comes that can be parsed.
     """
     entries: list[HostEntry] = []
     servers = message.get("servers") if isinstance(message, dict) else None
-    for told in servers if isinstance(servers, list) else ():
+    for item in servers if isinstance(servers, list) else ():
         try:
-            entry = read_entry(told, clock)
+            entry = read_entry(item, clock)
         except (KeyError, TypeError, AttributeError, ValueError):
             continue
         if entry.listed.state is not EndpointState.READY:
@@ -267,50 +272,55 @@
         raise ValueError(f"not a text: {value!r:.120}")
     try:
         value.encode()
-    except UnicodeEncodeError:  # half of a surrogate pair, which JSON can name and nothing can write
+    except UnicodeEncodeError:  # a lone surrogate, which JSON can escape and UTF-8 can't encode
         raise ValueError(f"not a text that can be written: {value!r:.120}") from None
     return value
 
 
-def _number(kind: type[N], value: Any, least: float = -MOST, most: float = MOST) -> N:
-    """Python's JSON also reads NaN, Infinity and whole numbers of any length, which would spread through
-    every figure they touch, or raise an error there."""
+def _number(kind: type[N], value: Any, least: float = -MAX_NUMBER, most: float = MAX_NUMBER) -> N:
+    """Return `value` as `kind`; raises ValueError unless it is a number from `least` to `most`.
+
+    Python's JSON parser also accepts NaN, Infinity and integers of any length, which would propagate through
+    every calculation or raise an error in it.
+    """
     if isinstance(value, bool) or not isinstance(value, int | float):
         raise ValueError(f"not a number: {value!r:.120}")
-    if not least <= value <= most:  # nor is NaN
+    if not least <= value <= most:  # also rejects NaN
         raise ValueError(f"not a number from {least:g} to {most:g}: {value!r:.120}")
     return kind(value)
 
 
 def _field(
     kind: type[N],
-    facts: Json,
+    fields: Json,
     path: str,
     key: str,
     default: N | None = None,
-    least: float = -MOST,
-    most: float = MOST,
+    least: float = -MAX_NUMBER,
+    most: float = MAX_NUMBER,
 ) -> N:
-    """The number at `key`; `default` where there is none, or null. Raises ValueError with its place."""
-    if default is not None and facts.get(key) is None:
+    """Return the number at `key`, or `default` if it is absent or null; a ValueError names its path."""
+    if default is not None and fields.get(key) is None:
         return default
     try:
-        return _number(kind, facts[key], least, most)
+        return _number(kind, fields[key], least, most)
     except ValueError as error:
         place = f"{path}.{key}" if path else key
         raise ValueError(f"{place}: {error}") from None
 
 
-def _span_ms(facts: Json, path: str, key: str) -> float:
-    """A time that others are divided by."""
-    found = _field(float, facts, path, key)
-    if found < LEAST_MS:
-        raise ValueError(f"{path}.{key} is {found:g}; it must be positive, {LEAST_MS:g} ms at least")
-    return found
+def _divisor_ms(fields: Json, path: str, key: str) -> float:
+    """Return the duration at `key`, which others are divided by; raises ValueError below `MIN_DIVISOR_MS`."""
+    duration_ms = _field(float, fields, path, key)
+    if duration_ms < MIN_DIVISOR_MS:
+        raise ValueError(
+            f"{path}.{key} is {duration_ms:g}; it must be positive, {MIN_DIVISOR_MS:g} ms at least"
+        )
+    return duration_ms
 
 
-def _flag(facts: Json, path: str, key: str) -> bool:
-    value = facts.get(key)
+def _flag(fields: Json, path: str, key: str) -> bool:
+    value = fields.get(key)
     if value is None:
         return False
     if value not in (True, False):
@@ -318,13 +328,13 @@
     return bool(value)
 
 
-def _whole(value: Any) -> int:
+def _integer(value: Any) -> int:
     if isinstance(value, bool) or not isinstance(value, int):
         raise ValueError(f"not a whole number: {value!r}")
     return value
 
 
-# The whole
+# The configuration
 
 
 class Config(Value):
@@ -338,9 +348,9 @@
     settings: Settings
     known: HostList | None
     clock: UnixClock
-    told: Json  # the file, but for the list of hosts
-    management: Address | None = None  # where operators call
-    inherited: int | None = None  # the descriptor of a listening socket that the platform holds
+    parsed_file: Json  # without the list of hosts
+    management: Address | None = None  # of the operators' interface
+    inherited: int | None = None  # descriptor of a listening socket passed by the platform
 
 
 def read_seed(value: Any) -> int:
@@ -350,10 +360,10 @@
         return zlib.crc32(str(value).encode())
 
 
-def missing(now: Any, before: Any, path: str = "") -> str | None:
-    """The path of the first key that `before` has and `now` lacks.
+def first_missing_key(now: Any, before: Any, path: str = "") -> str | None:
+    """Return the path of the first key that `before` has and `now` lacks.
 
-    Entries of a list are compared with what all of the former entries have: there may be others now.
+    Each entry of a list must have the keys that all former entries have: the entries may be others now.
     """
     if isinstance(before, dict):
         if not isinstance(now, dict):
@@ -362,95 +372,97 @@
             where = f"{path}.{key}" if path else key
             if key not in now:
                 return where
-            if (lost := missing(now[key], value, where)) is not None:
-                return lost
+            if (missing := first_missing_key(now[key], value, where)) is not None:
+                return missing
     elif isinstance(before, list) and before and all(isinstance(entry, dict) for entry in before):
         if not isinstance(now, list):
             return path
         for i, entry in enumerate(now):
-            # Danger: what only one effect needs is no loss to a class of another; refused for it, the file
-            # would leave discovery's new address unheard, too.
-            told = entry if isinstance(entry, dict) else {}
-            alike = [e for e in before if all(e.get(key) == told.get(key) for key in ("name", "effect"))]
+            # A key that only one effect needs may be absent in a class of another effect: rejecting the file
+            # for it would also reject a new address of discovery.
+            fields = entry if isinstance(entry, dict) else {}
+            alike = [e for e in before if all(e.get(key) == fields.get(key) for key in ("name", "effect"))]
             shared = [key for key in before[0] if all(key in e for e in before)]
-            shared = [key for key in shared if key not in OF_EFFECT]
-            shared += [key for key in OF_EFFECT if alike and all(key in e for e in alike)]
-            if (lost := missing(entry, dict.fromkeys(shared), f"{path}[{i}]")) is not None:
-                return lost
+            shared = [key for key in shared if key not in KEYED_ONLY_KEYS]
+            shared += [key for key in KEYED_ONLY_KEYS if alike and all(key in e for e in alike)]
+            if (missing := first_missing_key(entry, dict.fromkeys(shared), f"{path}[{i}]")) is not None:
+                return missing
     return None
 
 
 def _read_file(environ: Mapping[str, str]) -> Json:
     with open(environ["PROXY_CONFIG"], encoding="utf-8") as file:
-        told: Json = json.load(file)
-    return told
+        fields: Json = json.load(file)
+    return fields
 
 
 def reload(environ: Mapping[str, str], former: Config) -> Config:
-    """What the file says now, where that can change in service: discovery's address and the settings.
+    """Reread what can change in service from the file: discovery's address and the settings.
 
-    The environment is as old as the process: its copy of discovery's address would undo the change. Raises
-    KeyError, ValueError, TypeError, AttributeError or OSError for a file that can't be used: nothing of
-    it holds then.
+    Discovery's address in the environment is ignored: it dates from the start of the process and would undo
+    the change. Raises KeyError, ValueError, TypeError, AttributeError or OSError for a file that can't be
+    used: none of it is applied then.
     """
-    told = _read_file(environ)
-    # Danger: a file that was cut, or lost a key, would put defaults in place of what an operator had set.
-    lost = missing({**told, "known": None}, former.told)
-    if lost is not None:
-        raise ValueError(f"{lost} is missing, and the file in force has it")
-    settings = read_settings(told["settings"], int(former.sockets * CLIENTS_SHARE))
+    fields = _read_file(environ)
+    # In a truncated file, or one that lost a key, defaults would replace what an operator had set.
+    missing = first_missing_key({**fields, "known": None}, former.parsed_file)
+    if missing is not None:
+        raise ValueError(f"{missing} is missing, and the file in force has it")
+    settings = read_settings(fields["settings"], int(former.sockets * CLIENT_SHARE))
     if not settings.classes:
         raise ValueError("settings.categories is empty; right is at least one class")
-    told["known"] = None
+    fields["known"] = None
     return replace(
         former,
-        discovery=read_address(told["discovery"]),
+        discovery=read_address(fields["discovery"]),
         settings=settings,
-        conn_idle_ms=read_idle_ms(told["settings"]),
-        told=told,
+        conn_idle_ms=read_idle_ms(fields["settings"]),
+        parsed_file=fields,
     )
 
 
-def _at(told: Any, path: tuple[str, ...]) -> Any:
+def _at(fields: Any, path: tuple[str, ...]) -> Any:
     for key in path:
-        told = told.get(key) if isinstance(told, dict) else None
-    return told
+        fields = fields.get(key) if isinstance(fields, dict) else None
+    return fields
 
 
-def kept(now: Json, before: Json) -> list[str]:
-    """What `now` says otherwise than the file in force, and a running process does not change, as texts."""
+def unapplied_changes(now: Json, before: Json) -> list[str]:
+    """Describe the keys that differ from the file in force and that only a restart changes, a text each."""
     return [
         f"{'.'.join(path)} stays {_at(before, path)!r}, the file has {_at(now, path)!r}: a restart changes it"
-        for path in FIXED
+        for path in RESTART_ONLY_PATHS
         if _at(now, path) != _at(before, path)
     ]
 
 
-def read_idle_ms(facts: Json) -> float:
-    """For how long a host keeps a connection that stands idle."""
-    return _field(float, facts["bounds"], "bounds", "conn_idle_ms", DEFAULT_IDLE_MS, least=0.0)
+def read_idle_ms(fields: Json) -> float:
+    """Return the time after which a host closes an idle connection."""
+    return _field(float, fields["bounds"], "bounds", "conn_idle_ms", DEFAULT_IDLE_MS, least=0.0)
 
 
 def load(environ: Mapping[str, str]) -> Config:
-    """Raises KeyError, ValueError, TypeError, AttributeError or OSError when the program can't start with
-    what it was told."""
-    told = _read_file(environ)
-    facts, clock = told["settings"], UnixClock()
-    management = environ.get("PROXY_MANAGEMENT") or told.get("management")
+    """Read the configuration of a new process; the environment takes precedence over the file.
+
+    Raises KeyError, ValueError, TypeError, AttributeError or OSError for a configuration that can't be used.
+    """
+    fields = _read_file(environ)
+    settings, clock = fields["settings"], UnixClock()
+    management = environ.get("PROXY_MANAGEMENT") or fields.get("management")
     inherited = environ.get("PROXY_INHERITED_FD")
-    limits = told.get("limits", {})
+    limits = fields.get("limits", {})
     sockets = _field(int, limits, "limits", "sockets", DEFAULT_SOCKETS, least=0)
     return Config(
-        told={**told, "known": None},
-        name=_text(environ.get("PROXY_NAME") or told["name"]),
-        listen=read_address(environ.get("PROXY_LISTEN") or told["listen"]),
-        discovery=read_address(environ.get("PROXY_DISCOVERY") or told["discovery"]),
-        seed=read_seed(told.get("seed", 0)),
+        parsed_file={**fields, "known": None},
+        name=_text(environ.get("PROXY_NAME") or fields["name"]),
+        listen=read_address(environ.get("PROXY_LISTEN") or fields["listen"]),
+        discovery=read_address(environ.get("PROXY_DISCOVERY") or fields["discovery"]),
+        seed=read_seed(fields.get("seed", 0)),
         sockets=sockets,
         memory_mb=_field(float, limits, "limits", "memory_mb", DEFAULT_MEMORY_MB, least=0.0),
-        conn_idle_ms=read_idle_ms(facts),
-        settings=read_settings(facts, int(sockets * CLIENTS_SHARE)),
-        known=read_known(told.get("known"), clock),
+        conn_idle_ms=read_idle_ms(settings),
+        settings=read_settings(settings, int(sockets * CLIENT_SHARE)),
+        known=read_known(fields.get("known"), clock),
         clock=clock,
         management=read_address(management) if management else None,
         inherited=_descriptor(inherited) if inherited else None,
--- a/cloverrouter/proxy/containment.py
+++ b/cloverrouter/proxy/containment.py
@@ -1,11 +1,11 @@
-"""Keep an unexpected error to the connection, request or callback in which it was raised.
+"""Contain an unexpected error within the connection, request or callback that raised it.
 
-One process serves many clients, servers and watches. An exception that leaves the code of one of them would
-end whatever called it: the decisions' loop, a periodic task, a drain. Each place that acts for one peer in
-the name of all therefore contains its errors: the peer's own request or connection fails, the error is
-counted and logged as `error_contained`, and the others go on.
+One process serves many clients, servers and watches. An exception that propagates out of the code for one of
+them would end its caller: the loop that executes the decisions' actions, a periodic task, a drain. Each such
+caller therefore catches it: the request or connection fails, the error is counted and logged as
+`error_contained`, and the others are not affected.
 
-The decisions are the exception: an error of theirs ends the process (`proxy.shutdown`).
+The decisions are not covered: an error in them ends the process (`proxy.shutdown`).
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 from cloverrouter.clock import Handle, Loop, now_s
 from cloverrouter.proxy.recorder import Recorder
 
-STEPS_LOGGED = 20  # of the recorder's, behind a traceback
-LOG_INTERVAL_S = 1.0  # between two tracebacks of one place; the count in the next line tells of the others
+RECORDER_STEPS_LOGGED = 20  # after each traceback
+LOG_INTERVAL_S = 1.0  # between two tracebacks of one place; the next line's count includes the errors between
 log = logging.getLogger(__name__)
 
 
 class ContainedErrors:
-    """Count and log the errors that were contained, by place."""
+    """Counts and logs contained errors by place."""
 
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
@@ -31,7 +31,7 @@
         self._logged_s: dict[str, float] = {}
 
     def report(self, place: str, error: BaseException, detail: object = "") -> None:
-        """Note `error`, which ended nothing but the one thing that `detail` names."""
+        """Count and log `error`, which affected only what `detail` names."""
         self.counts[place] += 1
         at_s = now_s()
         if at_s - self._logged_s.get(place, float("-inf")) < LOG_INTERVAL_S:
@@ -46,10 +46,10 @@
             error,
             exc_info=error,
         )
-        self.recorder.write(STEPS_LOGGED)
+        self.recorder.write(RECORDER_STEPS_LOGGED)
 
     def run(self, place: str, step: Callable[[], object], detail: object = "") -> bool:
-        """Call `step`; False if it raised an error, which is contained."""
+        """Call `step`; return False if it raised an error, which is reported."""
         try:
             step()
         except Exception as error:
@@ -58,10 +58,10 @@
         return True
 
     def handle_loop_error(self, loop: object, context: dict[str, object]) -> None:
-        """Serve as asyncio's exception handler: what left a callback or a task that nobody waits for.
+        """Handle an exception from a callback or a task that is not awaited, as asyncio's exception handler.
 
-        A socket error there is a peer's: the half-close that asyncio puts off until its buffer is empty fails
-        when the peer has reset the connection meanwhile. The transport hears of that by itself.
+        A socket error there comes from a peer: asyncio defers a half-close until its buffer is empty, and it
+        fails if the peer has reset the connection meanwhile. The transport is notified of the reset anyway.
         """
         error = context.get("exception")
         message = str(context.get("message", ""))
@@ -75,20 +75,20 @@
 
 
 class UncontainedErrors(ContainedErrors):
-    """Contain nothing: for simulations, in which each error, and each verdict of a monitor, ends the run."""
+    """Raises each error, for simulations: errors, and violations that a monitor finds, end the run."""
 
     def report(self, place: str, error: BaseException, detail: object = "") -> None:
         raise error
 
 
 def contained_errors_of(loop: object) -> ContainedErrors:
-    """Return the loop's own; a new one where it has none."""
-    found = getattr(loop, "contained_errors", None)
-    return found if isinstance(found, ContainedErrors) else ContainedErrors()
+    """Return the `ContainedErrors` of `loop`, or a new one if it has none."""
+    errors = getattr(loop, "contained_errors", None)
+    return errors if isinstance(errors, ContainedErrors) else ContainedErrors()
 
 
 class Periodic:
-    """Call a function every `interval_s` seconds, also after a call of it that failed."""
+    """Calls a function every `interval_s` seconds, also after a call that raised an error."""
 
     def __init__(
         self, loop: Loop, errors: ContainedErrors, place: str, interval_s: float, step: Callable[[], object]
--- a/cloverrouter/proxy/descriptors.py
+++ b/cloverrouter/proxy/descriptors.py
@@ -1,8 +1,8 @@
-"""Which descriptors are kept back for which purpose, and who makes room where one is missing. No I/O.
+"""Budget of file descriptors: reserved ones by purpose, and reclaiming when none is free. No I/O.
 
-The limit on descriptors holds for all processes of one proxy together, and `RLIMIT_NOFILE` for each of them.
-What is left of a process's part when `KEPT` is taken off is shared half and half by clients and hosts, so
-that neither can keep the other, or discovery, from a connection.
+The configured limit applies to all processes of one proxy together, `RLIMIT_NOFILE` to each of them. What
+remains of a process's share after `RESERVED` is split evenly between clients' connections and connections
+to hosts, so that neither side can starve the other, or discovery.
 """
 
 from __future__ import annotations
@@ -12,106 +12,122 @@
 
 from cloverrouter.values import Value
 
-MADE_AT_ONCE = 4  # connections that are taken in one step in the place of others, which close in the next one
-REFUSED_AT_ONCE = 4  # connections that are accepted beyond the limit, to refuse what they ask
-KEPT = {
+# Connections accepted per loop step in place of evicted ones, which close in the next step.
+MAX_EVICTIONS_PER_STEP = 4
+MAX_REFUSING_CONNECTIONS = 4  # accepted beyond the limit, only to refuse their requests
+RESERVED = {
     "standard streams": 3,
-    "the event loop: epoll, and the pair that wakes it": 3,
+    "the event loop: epoll, and the socket pair for wake-ups": 3,
     "the listener": 1,
-    "the lock that tells of this process, and one that is tried": 2,
-    # `discovery.MOST_LATE` calls that were given up and are still heard; a closed one is gone a step later.
-    "discovery: a call, two late ones, one of a former address, one that closes": 5,
-    "clients' connections of which each request is refused, for want of room": REFUSED_AT_ONCE,
-    "clients' connections that have made room and are gone a step later": MADE_AT_ONCE,
-    "files: settings, tallies, what is loaded late": 3,
-    # While a successor starts, and this process has not heard of it yet.
-    "a successor's first steps": 2,
+    "the lock file that announces this process, and one that is tried": 2,
+    # `discovery.MAX_LATE_CALLS` calls that timed out and whose answer is still accepted; a closed one
+    # releases its descriptor one loop step later.
+    "discovery: a call, two late ones, one to a previous address, one that closes": 5,
+    "client connections beyond the limit, whose requests are refused": MAX_REFUSING_CONNECTIONS,
+    "evicted client connections, which close one loop step later": MAX_EVICTIONS_PER_STEP,
+    "files: settings, tallies, lazily loaded modules": 3,
+    # For the time in which a successor starts and this process does not know of it yet.
+    "startup of a successor process": 2,
 }
-AT_START = 9  # of these are open when the parts are put together: the first four
-LEAST = 4  # for clients and for hosts each
-MANAGEMENT = 9  # its listener, its file as it is changed (lock, old, new, folder), callers being closed: 4
-CALLERS_PART = 16  # of the limit is for operators' calls, `MOST_CALLERS` at most
-MOST_CALLERS = 64
-# Our own lack: what fails by it says nothing about the other side.
-NO_DESCRIPTOR = (errno.EMFILE, errno.ENFILE)
-OWN_LACK = (*NO_DESCRIPTOR, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
-TRIES = 3  # of whoever finds no descriptor
-PAUSE_S = 0.2  # in which room is made `TRIES` times at most, if nobody gets a descriptor by it
-
-
-class Budget(Value):
-    """Of one process."""
-
-    clients: int  # connections of clients
-    hosts: int  # connections to hosts, those that come up among them
-
-
-def callers(limit: int) -> int:
-    """Operators' calls that may be open at once."""
-    return max(1, min(MOST_CALLERS, limit // CALLERS_PART))
-
-
-def budget(limit: int, most: int, processes: int = 1, others: int = 0, opened: int = AT_START) -> Budget:
-    """`limit`: of all processes of the proxy together; `most`: of this one (`RLIMIT_NOFILE`; below 0: none);
-    `processes`: how many there are; `others`: for what operators have turned on; `opened`: that were open at
-    the start.
-
-    Raises ValueError, with the least limit that would do, where one process has too few by its settings; what
-    whoever starts it has left open takes off at most what is over the least.
+OPEN_AT_START = 9  # of the reserved ones: the first four purposes are open before the limits are computed
+MIN_CONNECTIONS = 4  # for clients and for hosts, each
+# Its listener; its file while it is rewritten (lock, old, new, directory); 4 for callers that are closing.
+MANAGEMENT_DESCRIPTORS = 9
+OPERATOR_CALLS_DIVISOR = 16  # the limit over this is for operators' calls, up to `MAX_OPERATOR_CALLS`
+MAX_OPERATOR_CALLS = 64
+# Local resource exhaustion: a call that fails with one of these says nothing about the peer.
+NO_DESCRIPTOR_ERRNOS = (errno.EMFILE, errno.ENFILE)
+LOCAL_RESOURCE_ERRNOS = (*NO_DESCRIPTOR_ERRNOS, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
+MAX_RECLAIMS = 3  # per interval while no descriptor is acquired; also the retries of one call
+RECLAIM_INTERVAL_S = 0.2  # window for `MAX_RECLAIMS`
+
+
+class ConnectionLimits(Value):
+    """Connection limits of one process."""
+
+    clients: int  # connections from clients
+    hosts: int  # connections to hosts, including those being established
+
+
+def max_operator_calls(limit: int) -> int:
+    """Return how many operators' calls may be open at once, for a descriptor limit of `limit`."""
+    return max(1, min(MAX_OPERATOR_CALLS, limit // OPERATOR_CALLS_DIVISOR))
+
+
+def connection_limits(
+    limit: int,
+    process_limit: int,
+    processes: int = 1,
+    extension_descriptors: int = 0,
+    open_at_start: int = OPEN_AT_START,
+) -> ConnectionLimits:
+    """Split the descriptors of one process between clients and hosts.
+
+    `limit`: for all processes of the proxy together; `process_limit`: `RLIMIT_NOFILE` of this process,
+    negative if unlimited; `processes`: how many there are; `extension_descriptors`: reserved for enabled
+    extensions; `open_at_start`: descriptors open at the start, including those left open by the parent.
+
+    Raises ValueError, naming the smallest sufficient limit, if the settings leave a single process too few.
+    Inherited descriptors reduce the result only down to `MIN_CONNECTIONS`.
     """
-    kept = sum(KEPT.values()) + others
-    most = most if most >= 0 else limit
-    left = min(limit // processes, most) - kept
-    if left < 2 * LEAST and processes == 1:
-        least = kept + 2 * LEAST
-        name, told = ("limits.sockets", limit) if limit <= most else ("RLIMIT_NOFILE", most)
-        raise ValueError(f"{name} is {told}; right is at least {least}, of which {kept} are kept back")
-    half = max(LEAST, (left - max(0, opened - AT_START)) // 2)
-    return Budget(half, half)
+    reserved = sum(RESERVED.values()) + extension_descriptors
+    process_limit = process_limit if process_limit >= 0 else limit
+    available = min(limit // processes, process_limit) - reserved
+    if available < 2 * MIN_CONNECTIONS and processes == 1:
+        least = reserved + 2 * MIN_CONNECTIONS
+        name, value = (
+            ("limits.sockets", limit) if limit <= process_limit else ("RLIMIT_NOFILE", process_limit)
+        )
+        raise ValueError(f"{name} is {value}; right is at least {least}, of which {reserved} are kept back")
+    half = max(MIN_CONNECTIONS, (available - max(0, open_at_start - OPEN_AT_START)) // 2)
+    return ConnectionLimits(half, half)
 
 
-def missing(error: BaseException) -> bool:
-    """Has there been no descriptor left, in this process or on this machine?"""
-    return isinstance(error, OSError) and error.errno in NO_DESCRIPTOR
+def is_descriptor_exhaustion(error: BaseException) -> bool:
+    """Whether no descriptor was free, in this process (EMFILE) or on this machine (ENFILE)."""
+    return isinstance(error, OSError) and error.errno in NO_DESCRIPTOR_ERRNOS
 
 
-def own_lack(error: BaseException) -> bool:
-    return isinstance(error, OSError) and error.errno in OWN_LACK
+def is_local_resource_error(error: BaseException) -> bool:
+    return isinstance(error, OSError) and error.errno in LOCAL_RESOURCE_ERRNOS
 
 
-class Room:
-    """Who can free a descriptor, those first that are missed least. It is free in the loop's next step.
+class DescriptorBudget:
+    """Reclaims descriptors by closing connections, the least valuable ones first.
 
-    Where the whole machine has none left, what is closed here goes to others: connections of clients would be
-    closed without end, to no use. So `TRIES` make room within `PAUSE_S`, for as long as nobody gets a
-    descriptor by it. Times are in seconds of the loop's clock.
+    A reclaimed descriptor is free in the loop's next step. If the whole machine has run out, other processes
+    get the descriptors that are closed here, and client connections would be closed endlessly to no benefit.
+    So there are at most `MAX_RECLAIMS` within `RECLAIM_INTERVAL_S` unless a descriptor is acquired meanwhile.
+    Times are in seconds of the loop's clock.
     """
 
     def __init__(self) -> None:
-        self.makers: list[Callable[[], bool]] = []
-        self._made = 0  # times in this pause
-        self._pause_ends_s = float("-inf")
-
-    def make(self, now_s: float, *preferred: Callable[[], bool]) -> bool:
-        """Has room been made, now or shortly before, for whoever comes first? `preferred` are asked ahead of
-        the others."""
-        if now_s >= self._pause_ends_s:
-            self._made = 0
-        if self._made >= TRIES:
+        self.reclaimers: list[Callable[[], bool]] = []
+        self._reclaims = 0  # in the current interval
+        self._interval_ends_s = float("-inf")
+
+    def reclaim(self, now_s: float, *preferred: Callable[[], bool]) -> bool:
+        """Close a connection to free a descriptor; return whether one was closed now or in this interval.
+
+        The freed descriptor goes to the next caller that opens one. `preferred` are called before the others.
+        """
+        if now_s >= self._interval_ends_s:
+            self._reclaims = 0
+        if self._reclaims >= MAX_RECLAIMS:
             return True
-        if not any(maker() for maker in (*preferred, *self.makers)):
-            return self._made > 0
-        if not self._made:
-            self._pause_ends_s = now_s + PAUSE_S
-        self._made += 1
+        if not any(reclaimer() for reclaimer in (*preferred, *self.reclaimers)):
+            return self._reclaims > 0
+        if not self._reclaims:
+            self._interval_ends_s = now_s + RECLAIM_INTERVAL_S
+        self._reclaims += 1
         return True
 
-    def used(self) -> None:
-        """A descriptor was got: what is closed here is of use."""
-        self._made = 0
+    def acquired(self) -> None:
+        """Record that a descriptor was obtained, so reclaiming is effective; resets the count."""
+        self._reclaims = 0
 
 
-def room_of(loop: object) -> Room:
-    """The loop's own; where it has none, one in which nobody can make any."""
-    found = getattr(loop, "room", None)
-    return found if isinstance(found, Room) else Room()
+def descriptor_budget_of(loop: object) -> DescriptorBudget:
+    """Return the loop's budget, or an empty one without reclaimers if the loop has none."""
+    found = getattr(loop, "descriptor_budget", None)
+    return found if isinstance(found, DescriptorBudget) else DescriptorBudget()
--- a/cloverrouter/proxy/direct.py
+++ b/cloverrouter/proxy/direct.py
@@ -1,8 +1,7 @@
-"""Answer a connection's first request without the event loop, where the answer is known before it is read.
+"""Answer the first request of a connection without the event loop, if the answer is known in advance.
 
-A refusal that takes the ordinary way costs several steps of the loop, and its connection a descriptor
-meanwhile. In an overload of this process there is no time for that: what has come is read as the connection
-is accepted.
+An ordinary refusal takes several iterations of the event loop, and its connection occupies a descriptor for
+that time. An overloaded process can't afford this, so it reads what has arrived right after accept(2).
 """
 
 from __future__ import annotations
@@ -19,17 +18,17 @@
 
 
 class DirectTransport(asyncio.Transport):
-    """A transport that writes at once, and reads nothing by itself."""
+    """A transport that writes to the socket immediately and never reads."""
 
     def __init__(self, sock: socket.socket) -> None:
         super().__init__()
         self._socket = sock
-        self.ending = False  # nothing more is to be written
-        self.unsent = b""  # what the kernel has not taken
+        self.ending = False  # nothing more will be written
+        self.unsent = b""  # bytes that did not fit in the socket's send buffer
 
     def write(self, data: bytes | bytearray | memoryview) -> None:
-        """Hand an answer to the kernel, which may take a part of it at a time (send(2)). An error is the
-        client's end: it has reset the connection, and nothing can be said to it any more."""
+        """Write an answer to the socket; send(2) may accept only part of it at a time. An error means that
+        the client has reset the connection, so the rest of the answer is dropped."""
         rest = memoryview(bytes(data))
         try:
             while rest and not self.unsent:
@@ -63,11 +62,12 @@
         pass
 
 
-def answered_at_once(connection: ClientConnection, sock: socket.socket, buffer: memoryview) -> bool:
-    """Read what is there and let `connection` answer it.
+def answer_directly(connection: ClientConnection, sock: socket.socket, buffer: memoryview) -> bool:
+    """Read what has arrived and let `connection` answer it; return whether the connection is finished.
 
-    False if it has to go on in the loop: nothing has come yet, or not all of a request, the kernel does not
-    take all of the answer, or something lies behind the request that closing would answer with RST.
+    False if it has to continue in the event loop: no complete request has arrived, the send buffer is full
+    before the whole answer is written, or unread data follows the request, which close(2) would answer with
+    RST.
     """
     transport = DirectTransport(sock)
     try:
@@ -84,7 +84,7 @@
     if count and (transport.unsent or not transport.ending):
         return False
     if count and has_unread_data(sock) and not peer_has_closed(sock):
-        with suppress(OSError):  # ENOTCONN: its client has reset it meanwhile
+        with suppress(OSError):  # ENOTCONN: the client has reset the connection in the meantime
             sock.shutdown(socket.SHUT_WR)
         return False
     connection.connection_lost(None)
