--- a/cloverrouter/proxy/eviction.py
+++ b/cloverrouter/proxy/eviction.py
@@ -1,74 +1,89 @@
-"""Choose the client connection that is closed to make room for another one. No I/O of its own."""
+"""Choose which client connection to close when a new one needs its slot. Does no I/O of its own."""
 
 from __future__ import annotations
 
 from cloverrouter.proxy.client_connection import ClientConnection, Stage
 
-FIRST_REQUEST_S = 0.5  # whoever has connected asks within so long, if it has work
-# Its request may be on its way for so long, also on a busy machine; closed meanwhile, it would be reset.
-SPARED_S = 0.1
-# Where more than this part of all connections has asked nothing, it is a crowd that keeps others out, and
-# nobody of it is spared.
-CROWD_PART = 4
+FIRST_REQUEST_GRACE_S = 0.5  # a client with work to do sends its first request within this time of connecting
+# Upper bound on the time that a first request takes to arrive, also on a busy machine. Closing the connection
+# in that time would answer the request with a TCP reset.
+SILENT_GRACE_S = 0.1
+# If more than 1 / MAX_SILENT_DIVISOR of the connection limit has sent no request yet, these connections keep
+# other clients out, and the grace period no longer applies to them.
+MAX_SILENT_DIVISOR = 4
 
 
 class Eviction:
-    """The connections that can make room, by their stage; the longest there first."""
+    """Connections that may be evicted, by stage; within a stage the oldest comes first."""
 
-    def __init__(self, most_open: int) -> None:
-        """`most_open`: connections that may be open at once."""
-        self.most_open = most_open
-        self._by_stage: dict[Stage, dict[ClientConnection, None]] = {
-            Stage.ENDED: {},
-            Stage.SILENT: {},
-            Stage.IDLE: {},
-        }
+    def __init__(self, max_open: int) -> None:
+        """`max_open`: the limit on concurrently open connections."""
+        self.max_open = max_open
+        self._ended: dict[ClientConnection, None] = {}
+        self._silent: dict[ClientConnection, None] = {}
+        self._idle: dict[ClientConnection, None] = {}
 
     @property
     def idle_count(self) -> int:
-        """Connections that have been answered and rest."""
-        return len(self._by_stage[Stage.IDLE])
+        """Number of idle keep-alive connections: answered, and without a further request."""
+        return len(self._idle)
 
-    def note(self, connection: ClientConnection) -> None:
-        """Take down at what stage `connection` is now."""
-        stage = connection.stage
-        if stage is not Stage.IDLE and connection in self._by_stage.get(stage, ()):
+    def update_stage(self, connection: ClientConnection) -> None:
+        """Record the current stage of `connection`."""
+        connections = self._connections_in(connection.stage)
+        if connections is not None and connections is not self._idle and connection in connections:
             return
-        self.forget(connection)
-        if stage in self._by_stage:
-            self._by_stage[stage][connection] = None
+        self.remove(connection)
+        if connections is not None:
+            connections[connection] = None
 
-    def forget(self, connection: ClientConnection) -> None:
-        for connections in self._by_stage.values():
-            connections.pop(connection, None)
+    def remove(self, connection: ClientConnection) -> None:
+        self._ended.pop(connection, None)
+        self._silent.pop(connection, None)
+        self._idle.pop(connection, None)
 
-    def evict(self, now_s: float, gently: bool = False) -> bool:
-        """Close the connection that is missed least; `gently`: none that may be about to ask, or that has not
-        all of its answer yet. `now_s`: of the clock that stands still with this process."""
-        connection = self.candidate(now_s, gently, unflushed=False)
-        if connection is None and not gently:
-            connection = self.candidate(now_s, gently, unflushed=True)
+    def _connections_in(self, stage: Stage) -> dict[ClientConnection, None] | None:
+        if stage is Stage.ENDED:
+            return self._ended
+        if stage is Stage.SILENT:
+            return self._silent
+        return self._idle if stage is Stage.IDLE else None
+
+    def evict(self, now_s: float, spare_active: bool = False) -> bool:
+        """Close the least valuable connection; return whether there was one.
+
+        `spare_active`: spare connections that may be about to send a request, and those whose answer is not
+        fully sent. `now_s`: time on the clock that excludes process pauses.
+        """
+        connection = self.candidate(now_s, spare_active, unflushed=False)
+        if connection is None and not spare_active:
+            connection = self.candidate(now_s, spare_active, unflushed=True)
         if connection is None:
             return False
-        self.forget(connection)
+        self.remove(connection)
         connection.end("evicted")
         return True
 
-    def candidate(self, now_s: float, gently: bool, unflushed: bool) -> ClientConnection | None:
-        """The connection to close; `unflushed`: one whose client has not all of its answer yet."""
-        crowd = len(self._by_stage[Stage.SILENT]) > self.most_open // CROWD_PART
-        spared_s = FIRST_REQUEST_S if gently else 0.0 if crowd else SPARED_S
-        for stage, connections in self._by_stage.items():
+    def candidate(self, now_s: float, spare_active: bool, unflushed: bool) -> ClientConnection | None:
+        """Return the connection to close; `unflushed`: consider only those with unsent answer bytes."""
+        grace_s = self._silent_grace_s(spare_active)
+        for connections in (self._ended, self._silent, self._idle):
             for connection in connections:
                 if connection.unflushed is not unflushed:
                     continue
-                if stage is Stage.SILENT and connection.since_s > now_s - spared_s:
-                    break  # they stand in the order in which they came
+                if connections is self._silent and connection.state_since_s > now_s - grace_s:
+                    break  # insertion order: all that follow are newer
                 if connection.evictable:
                     return connection
         return None
 
+    def _silent_grace_s(self, spare_active: bool) -> float:
+        """Return the age up to which a connection that has sent no request is not closed."""
+        if len(self._silent) > self.max_open // MAX_SILENT_DIVISOR:
+            return 0.0
+        return FIRST_REQUEST_GRACE_S if spare_active else SILENT_GRACE_S
+
     @property
-    def unread(self) -> bool:
-        """Has a connection that had asked nothing sent something that has not been read yet?"""
-        return any(connection.unread for connection in self._by_stage[Stage.SILENT])
+    def has_unread_requests(self) -> bool:
+        """Whether a connection without a request so far has received bytes that are not read yet."""
+        return any(connection.unread for connection in self._silent)
--- a/cloverrouter/proxy/exchange.py
+++ b/cloverrouter/proxy/exchange.py
@@ -1,4 +1,4 @@
-"""One attempt: a request on its way to a host, and how it ends."""
+"""One attempt: a request sent to a host, its HTTP/1.1 encoding and its outcome."""
 
 from __future__ import annotations
 
@@ -6,22 +6,22 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from cloverrouter.interface import Outcome, Sign
+from cloverrouter.interface import ConnectionSignal, Outcome
 from cloverrouter.proxy.config import Address
 from cloverrouter.proxy.messages import Answer, AnswerSink, Call, Upload
 
 if TYPE_CHECKING:
     from cloverrouter.proxy.server_connection import ServerConnection
 
-# Danger: a new host at an old address must not be sent requests on the old one's connections.
+# Name and address: a new host at the address of an old one must not get requests on the old connections.
 Host = tuple[str, Address]
 OnEnd = Callable[[Outcome, Answer | None], None]
-# A long answer begins; where its pieces go, or None if nobody wants it any more.
+# Called when a streamed answer begins; returns the receiver of its body, or None if no longer wanted.
 OnBegin = Callable[[Answer], AnswerSink | None]
 
 
 def outcome_of(answer: Answer) -> Outcome:
-    """How the attempt ended that brought this answer."""
+    """Return the outcome of an attempt that ended with this answer."""
     if answer.status == 200:
         return Outcome.OK
     if answer.status in (503, 504) and answer.never_ran:
@@ -29,13 +29,13 @@
     return Outcome.ERROR
 
 
-def chunk(data: bytes) -> bytes:
-    """A piece of a body of unknown length (RFC 9112, 7.1)."""
+def encode_chunk(data: bytes) -> bytes:
+    """Encode a chunk of a body of unknown length (RFC 9112, section 7.1)."""
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
-def encode(call: Call, timeout_ms: float) -> tuple[bytes, bytes]:
-    """A request as it goes out: its head, and what there is of the body. `timeout_ms`: the time left."""
+def encode_request(call: Call, timeout_ms: float) -> tuple[bytes, bytes]:
+    """Return the head of the request and as much of its body as has arrived. `timeout_ms`: the time left."""
     upload = call.upload
     head = [
         b"%b %b HTTP/1.1\r\nHost: backend.local\r\nX-Request-ID: %b\r\nX-Timeout-Ms: %d\r\n"
@@ -46,7 +46,7 @@
     if call.content_type:
         head.append(b"Content-Type: %b\r\n" % call.content_type)
     if upload is not None and upload.length is None:
-        return b"".join([*head, b"Transfer-Encoding: chunked\r\n\r\n"]), chunk(call.body)
+        return b"".join([*head, b"Transfer-Encoding: chunked\r\n\r\n"]), encode_chunk(call.body)
     if call.body or call.method not in (b"GET", b"HEAD"):
         length = len(call.body) if upload is None or upload.length is None else upload.length
         head.append(b"Content-Length: %d\r\n" % length)
@@ -54,17 +54,17 @@
 
 
 class Exchange:
-    """One attempt: a request on its way to a host. Ends once, by `on_end` or silently by `abandon`."""
+    """One attempt: a request sent to a host. Ends once, by calling `on_end` or silently by `abandon`."""
 
     __slots__ = (
+        "connect_task",
         "connection",
         "message",
         "on_begin",
         "on_end",
         "on_open",
-        "opening",
-        "sign",
-        "until_s",
+        "send_by_s",
+        "signal",
         "upload",
         "written",
     )
@@ -81,12 +81,12 @@
         self.upload = upload  # the rest of the body
         self.on_begin = on_begin
         self.on_open = on_open
-        self.sign: Sign | None = None  # what its connection showed, if that did not come up
-        self.until_s = float("inf")  # from then on it is not to go out any more
+        self.signal: ConnectionSignal | None = None  # set if its connection could not be established
+        self.send_by_s = float("inf")  # not sent after this time
         self.on_end: OnEnd | None = on_end
         self.connection: ServerConnection | None = None
-        self.opening: asyncio.Task[None] | None = None
-        self.written = False  # its last byte was handed to the socket: it may have run
+        self.connect_task: asyncio.Task[None] | None = None
+        self.written = False  # its last byte was handed to the socket: the server may have run it
 
     @property
     def begun(self) -> bool:
@@ -98,9 +98,9 @@
             on_end(outcome, answer)
 
     def abandon(self) -> None:
-        """Give it up: its connection closes, and if it has not gone out it never will."""
+        """Cancel the attempt: its connection is closed, and if it is not sent yet it never will be."""
         self.on_end = None
-        if self.opening is not None:
-            self.opening.cancel()
+        if self.connect_task is not None:
+            self.connect_task.cancel()
         if self.connection is not None:
             self.connection.abort()
--- a/cloverrouter/proxy/frontend.py
+++ b/cloverrouter/proxy/frontend.py
@@ -1,4 +1,4 @@
-"""The server that the application talks to: its listener, its connections, and how many may be open."""
+"""The HTTP/1.1 server for clients: its listener, its connections, and the limit on open connections."""
 
 from __future__ import annotations
 
@@ -6,184 +6,202 @@
 from collections.abc import Callable
 from functools import partial
 
-from cloverrouter.proxy.client_connection import READ_BYTES, ClientConnection, Stage
+from cloverrouter.proxy.client_connection import READ_BUFFER_BYTES, ClientConnection, Stage
 from cloverrouter.proxy.config import Address
 from cloverrouter.proxy.containment import Periodic, contained_errors_of
-from cloverrouter.proxy.descriptors import room_of
-from cloverrouter.proxy.eviction import FIRST_REQUEST_S, Eviction
-from cloverrouter.proxy.keeping import Keeping
+from cloverrouter.proxy.descriptors import descriptor_budget_of
+from cloverrouter.proxy.eviction import FIRST_REQUEST_GRACE_S, Eviction
+from cloverrouter.proxy.keeping import BufferBudget
 from cloverrouter.proxy.listener import Listener
-from cloverrouter.proxy.load import EVERY_S, LoadCounters, RefusalReason
+from cloverrouter.proxy.load import LOG_INTERVAL_S, LoadCounters, RefusalReason
 from cloverrouter.proxy.observer import Observer
 from cloverrouter.proxy.validity import Gate, ParsedCall
-from cloverrouter.proxy.wake import wake_of
+from cloverrouter.proxy.wake import pause_detector_of
 
-SWEEP_S = 0.2
-MOST_IDLE_PART = 6  # so small a part of the connections may be idle; past it answers end theirs
+SWEEP_INTERVAL_S = 0.2
+MAX_IDLE_DIVISOR = 6  # at most 1/6 of the connections may be idle; beyond that, answers close theirs
 
 
 class Frontend:
-    """The listening socket and the connections that came by it."""
+    """The listening socket and the connections accepted from it."""
 
-    def __init__(self, gate: Gate, most_open: int, most_kept: int = 4 * 1024 * 1024) -> None:
-        """`most_kept`: bytes of long bodies that are held at once."""
+    def __init__(self, gate: Gate, max_connections: int, max_buffered_bytes: int = 4 * 1024 * 1024) -> None:
+        """`max_buffered_bytes`: limit on the bytes of long bodies that are buffered at once."""
         self.gate = gate
-        self.keeping = Keeping(most_kept)
+        self.buffer_budget = BufferBudget(max_buffered_bytes)
         self.loop = asyncio.get_running_loop()
         self.errors = contained_errors_of(self.loop)
-        self.wake = wake_of(self.loop)
-        self.load = LoadCounters(lambda: (self.count, self._most_open))
-        self.wake.on_gap.append(lambda gap: self.load.paused(gap.span_s, gap.cause.value))
+        self.pause_detector = pause_detector_of(self.loop)
+        self.load = LoadCounters(lambda: (self.count, self._max_connections))
+        self.pause_detector.on_pause.append(lambda gap: self.load.paused(gap.span_s, gap.cause.value))
         self.observer: Observer | None = None
-        self.buffer = memoryview(bytearray(READ_BYTES))
-        self.eviction = Eviction(most_open)
+        self.buffer = memoryview(bytearray(READ_BUFFER_BYTES))
+        self.eviction = Eviction(max_connections)
         self.listener = Listener(self)
-        self._most_open = most_open
+        self._max_connections = max_connections
         self._connections: set[ClientConnection] = set()
         self._number = 0
         self._periodic: list[Periodic] = []
-        makers = room_of(self.loop).makers
-        makers.insert(0, lambda: self.evict(gently=True))  # a client connects anew at no cost to hosts
-        makers.append(self.evict)
+        reclaimers = descriptor_budget_of(self.loop).reclaimers
+        # First in the order, as a client's reconnect costs hosts nothing.
+        reclaimers.insert(0, lambda: self.evict(spare_active=True))
+        reclaimers.append(self.evict)
 
     async def listen(self, address: Address, inherited: int | None = None) -> Address:
-        """`inherited`: the descriptor of a socket that listens already, here and perhaps in another process.
+        """Start accepting connections, and return the bound address.
 
-        Raises OSError if it is none, or if the address can't be listened on.
+        `inherited`: the descriptor of a socket that is already listening, possibly shared with another
+        process. Raises OSError if it is not a socket, or if listening on the address fails.
         """
         bound = await self.listener.listen(address, inherited)
         self._periodic = [
-            Periodic(self.loop, self.errors, "client_sweep", SWEEP_S, self._sweep),
-            Periodic(self.loop, self.errors, "load_line", EVERY_S, self.load.tell),
+            Periodic(self.loop, self.errors, "client_sweep", SWEEP_INTERVAL_S, self._sweep),
+            Periodic(self.loop, self.errors, "load_line", LOG_INTERVAL_S, self.load.log_if_noteworthy),
         ]
         return bound
 
-    def number(self) -> int:
-        """The next connection's, for the log."""
+    def next_connection_number(self) -> int:
+        """Return the number that identifies the next connection in the log."""
         self._number += 1
         return self._number
 
-    # Room
+    # Capacity
 
     def is_full(self, share: float = 1.0) -> bool:
-        """Are as many connections open, or being accepted, as `share` of those that may be?"""
+        """Return whether open connections, with those being accepted, have reached `share` of the limit."""
         open_now = len(self._connections) - self.listener.refusing + self.listener.accepting
-        return open_now >= share * self._most_open
+        return open_now >= share * self._max_connections
 
     @property
     def overloaded(self) -> bool:
-        """Does this process not keep up with what comes?"""
-        return self.wake.overload.is_overloaded(self.loop.time())
+        """Whether the event loop falls behind the incoming requests."""
+        return self.pause_detector.is_overloaded(self.loop.time())
 
     def reason_to_refuse(self, connection: ClientConnection, call: ParsedCall) -> RefusalReason | None:
-        """Why a request of `connection` is refused before the decisions see it; None if they are to."""
+        """Return why a request of `connection` is refused before it reaches the balancer, or None."""
         if connection.refuses:
             return RefusalReason.NO_CAPACITY
-        if self.overloaded and connection.read_late():
+        if self.overloaded and connection.may_be_delayed():
             return RefusalReason.OVERLOADED
         return RefusalReason.EXPIRED if call.is_expired(self.loop.time() * 1000) else None
 
-    def evict(self, gently: bool = False) -> bool:
-        """Close the connection that is missed least; `gently`: none that may be about to ask."""
-        return self.eviction.evict(self.ran_s(), gently)
+    def evict(self, spare_active: bool = False) -> bool:
+        """Close the least useful connection; return whether there was one.
+
+        `spare_active`: spare connections that may be about to send a request, and those whose answer is not
+        fully sent.
+        """
+        return self.eviction.evict(self.active_time_s(), spare_active)
 
     def could_evict(self) -> bool:
-        """Is there a connection that can be closed to make room?"""
-        now_s = self.ran_s()
+        """Return whether there is a connection that can be evicted."""
+        now_s = self.active_time_s()
         return any(self.eviction.candidate(now_s, False, unflushed) for unflushed in (False, True))
 
     @property
-    def many_idle(self) -> bool:
-        """Danger: clients that ask once and keep their connection soon have none left for the next request.
-        An answer that ends its connection frees it at once, and no request can cross that end."""
-        return self.eviction.idle_count >= self._most_open // MOST_IDLE_PART
+    def has_many_idle(self) -> bool:
+        """Whether so many connections are idle that answers should close theirs.
 
-    @property
-    def over_full(self) -> bool:
-        """Are there more than may be, since these became fewer? Answers end them."""
-        return len(self._connections) > self._most_open
+        Clients that send one request and keep the connection open would use up all connections. An answer
+        with `Connection: close` frees its connection immediately, and no request can be in flight on it.
+        """
+        return self.eviction.idle_count >= self._max_connections // MAX_IDLE_DIVISOR
 
-    def resize(self, most_open: int) -> None:
-        """Hold so many connections at most from now on: idle ones make room, others end with answers."""
-        self._most_open = self.eviction.most_open = most_open
+    @property
+    def over_limit(self) -> bool:
+        """Whether more connections are open than a lowered limit allows; answers close theirs until it is
+        met."""
+        return len(self._connections) > self._max_connections
+
+    def resize(self, max_connections: int) -> None:
+        """Change the limit on open connections: excess idle ones are evicted, others close with an answer."""
+        self._max_connections = self.eviction.max_open = max_connections
         self._trim()
 
     def _trim(self) -> None:
-        for _ in range(len(self._connections) - self._most_open):
-            if not self.evict(gently=True):
+        for _ in range(len(self._connections) - self._max_connections):
+            if not self.evict(spare_active=True):
                 break
 
     @property
     def count(self) -> int:
-        """Connections of clients that are open."""
+        """Number of open client connections."""
         return len(self._connections)
 
     @property
     def nearly_full(self) -> bool:
-        """Do clients hold nine tenths of the descriptors that they may?"""
-        return len(self._connections) * 10 >= self._most_open * 9
+        """Whether the open connections have reached 90% of the limit."""
+        return len(self._connections) * 10 >= self._max_connections * 9
 
     def add(self, connection: ClientConnection) -> None:
         self._connections.add(connection)
         self.note_stage(connection)
 
     def note_stage(self, connection: ClientConnection) -> None:
-        """`connection` may be at another stage now."""
+        """Update the eviction order after a possible change of the stage of `connection`."""
         if connection in self._connections and not connection.refuses:
-            self.eviction.note(connection)
+            self.eviction.update_stage(connection)
 
     def remove(self, connection: ClientConnection) -> None:
         self._connections.discard(connection)
-        self.eviction.forget(connection)
-        self.listener.ended(connection)
+        self.eviction.remove(connection)
+        self.listener.connection_ended(connection)
 
     def close_idle(self, spare_new: bool = False) -> None:
-        """`spare_new`: danger: who has just connected is about to ask, and would be reset for it."""
-        asked_by_s = self.ran_s() - FIRST_REQUEST_S
+        """Close idle connections.
+
+        `spare_new`: keep recently opened ones: the client is about to send a request and would get a reset.
+        """
+        asked_by_s = self.active_time_s() - FIRST_REQUEST_GRACE_S
         for connection in list(self._connections):
-            if not spare_new or connection.stage is not Stage.SILENT or connection.since_s <= asked_by_s:
+            if (
+                not spare_new
+                or connection.stage is not Stage.SILENT
+                or connection.state_since_s <= asked_by_s
+            ):
                 self._contain(connection, "client_close_idle", connection.close_idle)
 
-    def turn_away(self) -> None:
-        """Nothing that still comes is taken: the proxy ends."""
+    def refuse_incomplete_requests(self) -> None:
+        """Refuse requests that are only partially received, and close idle connections: the proxy shuts
+        down."""
         for connection in list(self._connections):
-            self._contain(connection, "client_turn_away", connection.turn_away)
+            self._contain(connection, "client_turn_away", connection.refuse_incomplete_request)
             self._contain(connection, "client_close_idle", connection.close_idle)
 
     def _contain(self, connection: ClientConnection, place: str, step: Callable[[], object]) -> None:
-        """Take one connection's step in the name of all: an error of its own ends it, and nothing else."""
+        """Run `step` for one connection; an error in it closes only that connection."""
         try:
             step()
         except Exception as error:
             connection.fail(place, error)
 
     def close(self) -> None:
-        """Take no more connections, and close those on which nothing is owed."""
+        """Stop accepting connections, and close those without an open request or unsent answer."""
         self.stop_accepting()
         self.close_idle(spare_new=True)
 
     def stop_accepting(self) -> None:
         self.listener.close()
 
-    async def accept_rest(self, until_s: float = float("inf")) -> None:
-        """Accept those that have connected already, until `until_s` at most."""
-        await self.listener.accept_rest(until_s)
+    async def accept_queued(self, until_s: float = float("inf")) -> None:
+        """Accept the connections that are queued in the kernel, until `until_s` at the latest."""
+        await self.listener.accept_queued(until_s)
 
     @property
     def busy(self) -> bool:
         return bool(self._connections) or bool(self.listener.accepting)
 
     @property
-    def owing(self) -> bool:
-        """Is a call here that has not been answered, or an answer that has not left this program?"""
+    def has_unfinished_answers(self) -> bool:
+        """Whether a call is unanswered or an answer is still in a write buffer of this process."""
         return bool(self.listener.accepting) or any(c.busy or c.unflushed for c in self._connections)
 
-    def ran_s(self) -> float:
-        return self.wake.ran_s(self.loop.time())
+    def active_time_s(self) -> float:
+        return self.pause_detector.active_time_s(self.loop.time())
 
     def _sweep(self) -> None:
-        now_s = self.ran_s()
+        now_s = self.active_time_s()
         self._trim()
-        crowded = len(self._connections) > self._most_open // 2
+        half_full = len(self._connections) > self._max_connections // 2
         for connection in list(self._connections):
-            self._contain(connection, "client_check", partial(connection.check, now_s, crowded))
+            self._contain(connection, "client_check", partial(connection.check, now_s, half_full))
--- a/cloverrouter/proxy/keeping.py
+++ b/cloverrouter/proxy/keeping.py
@@ -1,35 +1,36 @@
-"""How much of clients' bodies is held in memory at once, and when a body is passed on as it comes instead.
+"""Budget for buffering request bodies, and the rule for when a body is streamed instead.
 
-Rules only. A body that is held whole can be sent a second time; one that is passed on can't. The first 64 KiB
-of each are held in any case; what is over that comes out of one budget for all.
+Rules only, no I/O. A buffered body can be sent again in a retry; a streamed one can't. The first 64 KiB of
+each body are always buffered; what exceeds that comes out of one budget shared by all connections.
 """
 
 from __future__ import annotations
 
-from cloverrouter.proxy.messages import MAX_BODY
+from cloverrouter.proxy.messages import STREAMING_THRESHOLD_BYTES
 
-MOST_EACH = 256 * 1024  # of one body; a larger one is passed on from its 64th KiB
+MAX_BUFFERED_BODY_BYTES = 256 * 1024  # per body; a larger one is streamed from its 64th KiB on
 
 
-class Keeping:
-    """`budget`: bytes of bodies over 64 KiB that may be held at once."""
+class BufferBudget:
+    """`limit_bytes`: how many bytes of bodies over 64 KiB may be buffered at once."""
 
-    def __init__(self, budget: int) -> None:
-        self.budget = budget
-        self.held = 0
+    def __init__(self, limit_bytes: int) -> None:
+        self.limit_bytes = limit_bytes
+        self.reserved_bytes = 0
 
-    def may_hold(self, length: int | None, now: int, claimed: int) -> bool:
-        """May a body go on being held, of which `now` bytes have come and `claimed` are claimed so far?
+    def may_buffer(self, length: int | None, received: int, reserved: int) -> bool:
+        """Return whether a body may stay buffered: `received` bytes have arrived, `reserved` are reserved.
 
-        `length`: what its client said; None where it did not say. A body that is too long as a whole is not
-        begun to be held: it would take room from those that fit, to no use.
+        `length`: the declared length of the body; None if the client declared none. A body that is too long
+        as a whole is not buffered at all: it would use up budget for bodies that fit, and be streamed in the
+        end.
         """
-        if now <= MAX_BODY and (length is None or length <= MAX_BODY):
+        if received <= STREAMING_THRESHOLD_BYTES and (length is None or length <= STREAMING_THRESHOLD_BYTES):
             return True
-        whole = now if length is None else max(length, now)
-        return whole <= MOST_EACH and self.held - claimed + whole <= self.budget
+        whole = received if length is None else max(length, received)
+        return whole <= MAX_BUFFERED_BODY_BYTES and self.reserved_bytes - reserved + whole <= self.limit_bytes
 
-    def claim(self, bytes_: int, claimed: int) -> int:
-        """Hold so many bytes in place of `claimed`; what is claimed from here on."""
-        self.held += bytes_ - claimed
-        return bytes_
+    def reserve(self, size: int, reserved: int) -> int:
+        """Reserve `size` bytes in place of `reserved`, and return the new reservation."""
+        self.reserved_bytes += size - reserved
+        return size
--- a/cloverrouter/proxy/listener.py
+++ b/cloverrouter/proxy/listener.py
@@ -1,7 +1,7 @@
-"""Accept clients' connections, as many as there is room for, and refuse what comes beyond that.
+"""Accept client connections up to the connection limit, and refuse requests beyond it.
 
-Nobody is left in the listener's queue for longer than `accept_rules` allows, and nobody who has sent a
-request is ended without an answer: where no connection can make room, a few more are accepted of which each
+No connection stays in the listen queue for longer than `accept_rules` allows, and none that has sent a
+request is closed without an answer: if no connection can be evicted, a few more are accepted on which each
 request is refused (`ClientConnection.refuses`).
 """
 
@@ -13,38 +13,39 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from cloverrouter.membership.standing import FRESH_S
-from cloverrouter.proxy.accept_rules import MOST_DEFERRED_S, AcceptDeferral
+from cloverrouter.membership.standing import READ_AGE_CHECK_S
+from cloverrouter.proxy.accept_rules import MAX_DEFERRAL_S, AcceptDeferral
 from cloverrouter.proxy.client_connection import ClientConnection, Stage
 from cloverrouter.proxy.config import Address
-from cloverrouter.proxy.descriptors import MADE_AT_ONCE, REFUSED_AT_ONCE
-from cloverrouter.proxy.direct import answered_at_once
-from cloverrouter.proxy.eviction import FIRST_REQUEST_S
+from cloverrouter.proxy.descriptors import MAX_EVICTIONS_PER_STEP, MAX_REFUSING_CONNECTIONS
+from cloverrouter.proxy.direct import answer_directly
+from cloverrouter.proxy.eviction import FIRST_REQUEST_GRACE_S
 from cloverrouter.proxy.load import DeferReason
 from cloverrouter.proxy.sockets import CONNECTION_ERRORS, close
-from cloverrouter.proxy.startup import retried_in_loop
+from cloverrouter.proxy.startup import retry_in_loop
 from cloverrouter.proxy.wake import Loop
 
 if TYPE_CHECKING:
     from cloverrouter.proxy.frontend import Frontend
 
-# While this process is paused, what clients ask waits there; what does not fit comes late, and looks new.
+# While this process is paused, connections wait in the listen queue. Those that do not fit connect later, by
+# a retransmitted SYN, and seem new.
 BACKLOG = 4096
-ACCEPTED_AT_ONCE = 16  # then those that are open have their turn
-ANSWERED_AT_ONCE = 64  # the same, with those that are answered as they are accepted
-RETRY_S = 0.2  # without a descriptor
-POLL_S = 0.005
-ACCEPT_REST_S = 3.0  # at most, for those that have connected when the listener is about to close
-RECENT_S = 1.0  # since a pause
-RECOVERY_SHARE = 0.5  # of the connections: past more, requests that wait for servers make room by a refusal
-# A connection that is there to be refused, and has asked nothing yet, is left for so long while others wait
-# for its place, and while none does.
-SPARED_TO_REFUSE_S, SILENT_S = 0.02, 0.1
+MAX_ACCEPTS_PER_STEP = 16  # per loop step, so that open connections are served in between
+MAX_IMMEDIATE_ANSWERS_PER_STEP = 64  # the same, including connections answered right at the accept
+ACCEPT_RETRY_S = 0.2  # between attempts while no descriptor is free
+POLL_INTERVAL_S = 0.005
+MAX_DRAIN_ACCEPT_S = 3.0  # limit on accepting queued connections before the listener closes
+RECENT_PAUSE_S = 1.0  # a pause that ended less than this ago is recent
+RECOVERY_SHARE = 0.5  # of the connection limit: above it, queued requests would be refused to free capacity
+# How long a connection that is to be refused may stay open without a request: while others wait for its slot,
+# and while none does.
+REFUSING_GRACE_S, REFUSING_IDLE_S = 0.02, 0.1
 log = logging.getLogger(__name__)
 
 
-def listening(address: Address) -> socket.socket:
-    """A socket that listens at `address`. Raises OSError."""
+def listening_socket(address: Address) -> socket.socket:
+    """Return a non-blocking socket that listens at `address`. Raises OSError."""
     listener = socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET)
     try:
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -58,75 +59,73 @@
 
 
 class Listener:
-    """The listening socket of one front."""
+    """The listening socket of one frontend."""
 
     def __init__(self, frontend: Frontend) -> None:
-        self._frontend, self._loop, self._wake = frontend, frontend.loop, frontend.wake
+        self._frontend, self._loop, self._pause_detector = frontend, frontend.loop, frontend.pause_detector
         self._errors, self._load = frontend.errors, frontend.load
         self._socket: socket.socket | None = None
         self._accepting: set[asyncio.Task[object]] = set()
-        self._refusing: dict[ClientConnection, None] = {}  # the longest there first
+        self._refusing: dict[ClientConnection, None] = {}  # the oldest first
         self._deferral = AcceptDeferral()
-        self.deferred = False  # connections wait for room
-        self._queued_since_s = 0.0  # since when the queue may not have been empty; 0: it was
-        self._left_queued = False  # connections were left in the queue when it was last looked at
-        # The same, where that is for longer than the loop's own way to them: they may have waited so long.
+        self.deferred = False  # connections are left queued until there is capacity
+        self._queued_since_s = 0.0  # since when the queue may have been non-empty; 0: it was empty
+        self._left_queued = False  # connections were left in the queue by the last accept()
+        # The same, but 0 within the loop's normal latency: connections may have waited since then.
         self.delayed_since_s = 0.0
-        self._looked_s = 0.0  # when it last looked for connections
-        self._resting = False  # it does not look for them
-        self._no_descriptor_s = float("-inf")  # when there was none for a connection
+        self._last_accept_s = 0.0  # time of the last accept()
+        self._accept_paused = False  # the listening socket is not polled
+        self._no_descriptor_s = float("-inf")  # when accept(2) last failed for lack of a descriptor
 
     async def listen(self, address: Address, inherited: int | None = None) -> Address:
-        """`inherited`: the descriptor of a socket that listens already, here and perhaps in another process.
+        """Start listening; return the host and port.
 
-        Raises OSError if it is none, or if the address can't be listened on.
+        `inherited`: the descriptor of a socket that is already listening, perhaps also in another process.
+        Raises OSError if it is not a socket, or if the address can't be listened on.
         """
         if inherited is None:
-            listener = await retried_in_loop(partial(listening, address))
+            listener = await retry_in_loop(partial(listening_socket, address))
         else:
             listener = socket.socket(fileno=inherited)
             listener.setblocking(False)
         self._socket = listener
-        await retried_in_loop(lambda: self._loop.add_reader(listener, self.accept))
+        await retry_in_loop(lambda: self._loop.add_reader(listener, self.accept))
         host, port = address if address[1] else listener.getsockname()[:2]
         return host, port
 
     def close(self) -> None:
-        """Accept no more."""
+        """Close the listening socket."""
         listener, self._socket = self._socket, None
-        self._wake.leaving_queued.discard(self)
+        self._pause_detector.deferring_listeners.discard(self)
         if listener is not None:
             self._loop.remove_reader(listener)
             close(listener)
 
     @property
     def accepting(self) -> int:
-        """Connections that are being accepted."""
+        """Number of accepted connections not yet attached to the event loop."""
         return len(self._accepting)
 
     @property
     def refusing(self) -> int:
-        """Connections of which each request is refused."""
+        """Number of open connections on which each request is refused."""
         return len(self._refusing)
 
     def accept(self) -> bool:
-        """Accept connections, a few at a time. Are there more, as far as known?
+        """Accept a limited number of connections; return whether more may be queued.
 
-        asyncio's own server accepts a whole backlog before one of them is counted; it runs out of descriptors
-        then, and stops accepting for a second.
+        asyncio's own server accepts a whole backlog before any of its connections is counted; it then runs
+        out of descriptors and stops accepting for a second.
         """
         listener = self._socket
         if listener is None:
             return False
         self._measure_delay()
         in_loop = evicted = 0
-        for _ in range(ANSWERED_AT_ONCE):
-            if (reason := self._reason_to_defer()) is not None:
-                self._load.deferred(reason)
+        for _ in range(MAX_IMMEDIATE_ANSWERS_PER_STEP):
+            under_pressure = bool(self.delayed_since_s) or self._frontend.is_full()
+            if under_pressure and self._defers():
                 return True
-            if not self._has_room() and not self._make_room_to_refuse():
-                self._load.deferred(DeferReason.REFUSING)
-                return True  # those that are refused are being read, and make room for the next ones
             try:
                 sock, _peer = listener.accept()
             except (BlockingIOError, InterruptedError):
@@ -134,25 +133,28 @@
                 return False
             except OSError as error:
                 if error.errno in CONNECTION_ERRORS:
-                    continue  # those behind it have asked, and a drain closes the listener after this
-                self._rest_without_descriptor(error)
+                    continue  # those behind it may hold requests, and a drain closes the listener next
+                self._pause_without_descriptor(error)
                 return True
             self._no_descriptor_s = float("-inf")
-            self._load.accepted(self._looked_s - self._queued_since_s)
-            full = self._frontend.is_full()
-            made_room = full and self._frontend.evict()
-            evicted += made_room
-            in_loop += self._take(sock, refuses=full and not made_room)
-            if in_loop >= ACCEPTED_AT_ONCE or evicted >= MADE_AT_ONCE:
-                break  # each that was evicted holds its descriptor up to the loop's next step
+            self._load.accepted(self._last_accept_s - self._queued_since_s)
+            full = under_pressure and self._frontend.is_full()
+            has_evicted = full and self._frontend.evict()
+            evicted += has_evicted
+            in_loop += self._start(sock, refuses=full and not has_evicted)
+            if in_loop >= MAX_ACCEPTS_PER_STEP or evicted >= MAX_EVICTIONS_PER_STEP:
+                break  # an evicted connection holds its descriptor until the loop's next step
         return True
 
-    def _take(self, sock: socket.socket, refuses: bool) -> bool:
-        """Take an accepted connection in, or refuse what it asks. Has it come into the loop?"""
+    def _start(self, sock: socket.socket, refuses: bool) -> bool:
+        """Start serving or refusing an accepted connection; return whether it is attached to the loop.
+
+        When overloaded, delayed or refusing, its request is answered at once if it can be read already.
+        """
         sock.setblocking(False)
         connection = ClientConnection(self._frontend, sock, refuses)
-        hurried = refuses or bool(self.delayed_since_s) or self._frontend.overloaded
-        if hurried and self._answered_at_once(connection, sock):
+        urgent = refuses or bool(self.delayed_since_s) or self._frontend.overloaded
+        if urgent and self._answered_at_once(connection, sock):
             return False
         if refuses:
             self._refusing[connection] = None
@@ -163,7 +165,7 @@
 
     def _answered_at_once(self, connection: ClientConnection, sock: socket.socket) -> bool:
         try:
-            return answered_at_once(connection, sock, self._frontend.buffer)
+            return answer_directly(connection, sock, self._frontend.buffer)
         except Exception as error:
             self._errors.report("client_accept", error)
             connection.connection_lost(None)
@@ -176,77 +178,86 @@
             if isinstance(self._loop, Loop) and transport.is_reading() and not self._loop.watches(sock):
                 connection.end("can't be read from")
             if connection.refuses:
-                self._loop.call_later(SILENT_S, connection.close_idle)
+                self._loop.call_later(REFUSING_IDLE_S, connection.close_idle)
             return
         except OSError as error:
             log.warning("a connection was lost while it was accepted: %s", error)
         except Exception as error:
             self._errors.report("client_accept", error)
-        connection.connection_lost(
-            None
-        )  # danger: it may have read a request, whose id would be taken for good
+        connection.connection_lost(None)  # a request that it has read would otherwise keep its id in use
         close(sock)
 
-    def ended(self, connection: ClientConnection) -> None:
-        """A connection has ended: there may be room for another one."""
+    def connection_ended(self, connection: ClientConnection) -> None:
+        """Handle the end of a connection: there may be capacity for a queued one."""
         self._refusing.pop(connection, None)
         if self.deferred:
             self._loop.call_soon(self._resume)
 
-    # Room
+    # Capacity
 
     def _measure_delay(self) -> None:
-        """Since when what is accepted now may have waited for this process."""
+        """Determine since when connections accepted now may have been queued."""
         now_s = self._loop.time()
-        if not self._left_queued and self._looked_s < self._wake.before_s:
-            self._queued_since_s = (
-                0.0  # the listener was not ready when the loop last looked: the queue was empty
-            )
-        self._queued_since_s = self._queued_since_s or min(now_s, self._wake.before_s)
-        self._looked_s = now_s
-        delayed = now_s - self._queued_since_s > FRESH_S
+        if not self._left_queued and self._last_accept_s < self._pause_detector.previous_poll_s:
+            self._queued_since_s = 0.0  # the last poll did not find the listener ready: the queue was empty
+        self._queued_since_s = self._queued_since_s or min(now_s, self._pause_detector.previous_poll_s)
+        self._last_accept_s = now_s
+        delayed = now_s - self._queued_since_s > READ_AGE_CHECK_S
         self.delayed_since_s = self._queued_since_s if delayed else 0.0
         self.deferred = self._left_queued = False
 
+    def _defers(self) -> bool:
+        """Return whether the next connection is left queued for now; may evict one to make room for it."""
+        reason = self._reason_to_defer()
+        if reason is None and not self._has_capacity() and not self._reserve_refusing_slot():
+            reason = DeferReason.REFUSING  # reading the refused connections frees slots for the next ones
+        if reason is not None:
+            self._load.deferred(reason)
+        return reason is not None
+
     def _reason_to_defer(self) -> DeferReason | None:
-        """Why those that wait are left in the queue for now; None if one of them is to be accepted."""
+        """Return why connections are left queued for now; None if the next one should be accepted."""
         frontend = self._frontend
         reason = None
-        if self.delayed_since_s and frontend.is_full(RECOVERY_SHARE) and not frontend.evict(gently=True):
-            # The decisions would have more waiting than they allow, and refuse the longest there.
+        if (
+            self.delayed_since_s
+            and frontend.is_full(RECOVERY_SHARE)
+            and not frontend.evict(spare_active=True)
+        ):
+            # The balancer would exceed its limit on queued requests, and refuse the oldest of them.
             reason = DeferReason.RECOVERING
         elif frontend.is_full() and not frontend.could_evict():
             if self._accepting:
-                return DeferReason.BEING_ACCEPTED  # the loop has them in its next steps
-            if frontend.eviction.unread:
+                return DeferReason.BEING_ACCEPTED  # they are attached in the next loop steps
+            if frontend.eviction.has_unread_requests:
                 reason = DeferReason.UNREAD_REQUESTS
         if reason is None or not self._deferral.allows(self._loop.time(), self._recent_pause_s()):
             return None
         self.deferred = self._left_queued = True
         if reason is DeferReason.RECOVERING:
-            # Danger: the loop finds nothing ready meanwhile, and would take itself to have caught up.
-            self._wake.leaving_queued.add(self)
-            self._rest(MOST_DEFERRED_S / 2)
+            # The listener is not polled meanwhile: with nothing ready, the loop would seem to have caught up.
+            self._pause_detector.deferring_listeners.add(self)
+            self._pause_accepting(MAX_DEFERRAL_S / 2)
         return reason
 
     def _recent_pause_s(self) -> float:
-        """How long the process was paused, where that is just over."""
-        gap = self._wake.standing.last
-        return gap.span_s if gap is not None and self._loop.time() - gap.to_s < RECENT_S else 0.0
+        """Return the duration of the last process pause if it ended recently, else 0."""
+        gap = self._pause_detector.pauses.last
+        return gap.span_s if gap is not None and self._loop.time() - gap.to_s < RECENT_PAUSE_S else 0.0
 
-    def _has_room(self) -> bool:
+    def _has_capacity(self) -> bool:
         return not self._frontend.is_full() or self._frontend.could_evict()
 
-    def _make_room_to_refuse(self) -> bool:
-        """May one more connection be accepted to be refused?"""
-        if len(self._refusing) < REFUSED_AT_ONCE:
+    def _reserve_refusing_slot(self) -> bool:
+        """Return whether one more connection may be accepted to be refused; may evict one to that end."""
+        if len(self._refusing) < MAX_REFUSING_CONNECTIONS:
             return True
-        now_s = self._frontend.ran_s()
+        now_s = self._frontend.active_time_s()
         for connection in self._refusing:
-            age_s = now_s - connection.since_s
-            new = connection.stage is Stage.SILENT and age_s < SPARED_TO_REFUSE_S
-            # What lies unread for long lies on a connection that epoll could not take.
-            stuck = age_s > FIRST_REQUEST_S
+            age_s = now_s - connection.state_since_s
+            new = connection.stage is Stage.SILENT and age_s < REFUSING_GRACE_S
+            # Data that stays unread for so long is on a connection that could not be registered with epoll.
+            stuck = age_s > FIRST_REQUEST_GRACE_S
             owed = connection.unread or connection.unflushed
             if stuck or (not new and connection.evictable and not owed):
                 del self._refusing[connection]
@@ -254,49 +265,53 @@
                 return True
         return False
 
-    # Rest
+    # Pausing
 
-    def _rest_without_descriptor(self, error: OSError) -> None:
-        """Out of descriptors or memory: make room, and come back to it.
+    def _pause_without_descriptor(self, error: OSError) -> None:
+        """Handle accept(2) failing for lack of descriptors or memory: evict a connection, and retry later.
 
-        Where it is the machine that has none left, what makes room here goes to others: one at once, and then
-        a few in a second.
+        If the whole machine has run out, other processes get the descriptors that are freed here. So one
+        connection is evicted at once, and then a few per second.
         """
         now_s = self._loop.time()
-        first = now_s - self._no_descriptor_s > 2 * RETRY_S
+        first = now_s - self._no_descriptor_s > 2 * ACCEPT_RETRY_S
         if not first:
             log.error("accept: %s", error)
         self._load.deferred(DeferReason.NO_DESCRIPTORS)
-        self._frontend.evict(gently=first)
+        self._frontend.evict(spare_active=first)
         self._no_descriptor_s = now_s
         self._left_queued = True
-        self._rest(POLL_S if first else RETRY_S)
+        self._pause_accepting(POLL_INTERVAL_S if first else ACCEPT_RETRY_S)
 
-    def _rest(self, for_s: float) -> None:
+    def _pause_accepting(self, for_s: float) -> None:
         assert self._socket is not None
-        if not self._resting:
-            self._resting = True
+        if not self._accept_paused:
+            self._accept_paused = True
             self._loop.remove_reader(self._socket)
         self._loop.call_later(for_s, self._resume)
 
     def _resume(self) -> None:
-        self._wake.leaving_queued.discard(self)
-        # A reader that is added again loses its turn, and nobody would seem to have waited.
-        if self._socket is None or not self._resting:
+        self._pause_detector.deferring_listeners.discard(self)
+        # A reader that is added again is polled later than those that stayed, so that the delay of queued
+        # connections would go unnoticed.
+        if self._socket is None or not self._accept_paused:
             return
         try:
             self._loop.add_reader(self._socket, self.accept)
         except OSError as error:  # epoll_ctl(2): no memory, or too many watches of this user
             self._errors.report("listener_resume", error)
-            self._loop.call_later(RETRY_S, self._resume)
+            self._loop.call_later(ACCEPT_RETRY_S, self._resume)
             return
-        self._resting = False
+        self._accept_paused = False
 
-    async def accept_rest(self, until_s: float) -> None:
-        """Accept those that have connected already: they may have asked, and a listener that closes resets
-        them. Others go on coming, perhaps for ever: until `until_s` at most."""
-        until_s = min(until_s, self._loop.time() + ACCEPT_REST_S)
+    async def accept_queued(self, until_s: float) -> None:
+        """Accept the connections queued already, before the listener closes.
+
+        They may have sent requests, and closing the listener resets them. New ones may keep arriving, so this
+        ends at `until_s` at the latest.
+        """
+        until_s = min(until_s, self._loop.time() + MAX_DRAIN_ACCEPT_S)
         while self._socket is not None and self._loop.time() < until_s:
-            if not self._resting and not self.accept():
+            if not self._accept_paused and not self.accept():
                 return
-            await asyncio.sleep(0.0 if not self._resting else POLL_S)
+            await asyncio.sleep(0.0 if not self._accept_paused else POLL_INTERVAL_S)
--- a/cloverrouter/proxy/load.py
+++ b/cloverrouter/proxy/load.py
@@ -1,8 +1,8 @@
-"""Count what happens to connections ahead of the decisions, and log each second in which some waited.
+"""Count connection events ahead of the balancer's decisions, and log each second in which clients waited.
 
-A request that lies in the listener's queue, or in a socket that nobody reads, is seen by no one: it has no id
-yet and is in no figure. What can be known of it is how long the queue has not been empty, why nobody was
-accepted meanwhile, and what the process itself did. A second without any of that logs nothing.
+A request in the listen queue or in an unread socket buffer has no id yet and appears in no other metric. What
+can be observed is how long the queue has not been empty, why accepting was deferred, and pauses and CPU time
+of the process. A second without such events logs nothing.
 """
 
 from __future__ import annotations
@@ -13,34 +13,34 @@
 from collections.abc import Callable
 from enum import Enum
 
-EVERY_S = 1.0
-NOTEWORTHY_DELAY_S = 0.05  # in the listener's queue
+LOG_INTERVAL_S = 1.0
+NOTEWORTHY_DELAY_S = 0.05  # in the listen queue
 log = logging.getLogger(__name__)
 
 
 class DeferReason(Enum):
-    """Why connections are left in the listener's queue for now."""
+    """Reason for leaving connections in the listen queue for now."""
 
-    RECOVERING = "recovering"  # after a pause of the process, half of the capacity is in use
-    BEING_ACCEPTED = "being_accepted"  # full, with some that the loop does not have yet
-    UNREAD_REQUESTS = "unread_requests"  # full of connections whose requests are read in this step
-    REFUSING = "refusing"  # full, and so are the places of those that are refused
-    NO_DESCRIPTORS = "no_descriptors"  # accept(2) failed for want of them, or of memory
+    RECOVERING = "recovering"  # after a process pause, with half of the connection limit in use
+    BEING_ACCEPTED = "being_accepted"  # full, including connections not yet attached to the event loop
+    UNREAD_REQUESTS = "unread_requests"  # full, with requests to be read in this loop step
+    REFUSING = "refusing"  # full, and no free slot for a connection that is only refused
+    NO_DESCRIPTORS = "no_descriptors"  # accept(2) failed: out of descriptors or memory
 
 
 class RefusalReason(Enum):
-    """Why a request is refused before the decisions see it."""
+    """Reason for refusing a request before the balancer's decisions see it."""
 
-    NO_CAPACITY = "no_capacity"  # as many connections are open as may be, and each is busy
-    EXPIRED = "expired"  # its time was over before it could be read
-    OVERLOADED = "overloaded"  # this process does not keep up with what comes
+    NO_CAPACITY = "no_capacity"  # the connection limit is reached, and each connection is busy
+    EXPIRED = "expired"  # its deadline passed before it was read
+    OVERLOADED = "overloaded"  # the event loop is behind its sockets
 
 
 class LoadCounters:
-    """What the front did since the last line of the log, and in all."""
+    """The frontend's counters since the last log line, and in total."""
 
     def __init__(self, connections: Callable[[], tuple[int, int]]) -> None:
-        """`connections`: how many are open, and how many may be."""
+        """`connections`: returns the number of open connections and the limit."""
         self._connections = connections
         self.total: Counter[str] = Counter()  # since the start, by event
         self._second: Counter[str] = Counter()
@@ -49,20 +49,20 @@
         self._cpu_s = time.process_time()
 
     def accepted(self, delay_s: float) -> None:
-        """A connection was accepted; it had waited for `delay_s` at most."""
+        """Record an accepted connection, which waited in the queue for at most `delay_s`."""
         self._second["accepted"] += 1
         self._accept_delay_s = max(self._accept_delay_s, delay_s)
 
     def deferred(self, reason: DeferReason) -> None:
-        """Accepting stopped with connections still queued, or perhaps so."""
+        """Record that accepting stopped while connections were, or may have been, queued."""
         self._count(f"deferred_{reason.value}")
 
     def refused(self, reason: RefusalReason) -> None:
-        """A request was refused that the decisions never saw."""
+        """Record a request refused ahead of the balancer's decisions."""
         self._count(f"refused_{reason.value}")
 
     def paused(self, span_s: float, cause: str) -> None:
-        """The process was not at its sockets for `span_s`, in seconds."""
+        """Record that the event loop did not poll its sockets for `span_s` seconds."""
         self._count(f"paused_{cause.replace(' ', '_')}")
         self._pause_s += span_s
 
@@ -72,11 +72,11 @@
 
     @property
     def noteworthy(self) -> bool:
-        """Has anything but accepting in good time happened since the last line?"""
+        """Whether anything but timely accepts happened since the last line."""
         return len(self._second) > ("accepted" in self._second) or self._accept_delay_s >= NOTEWORTHY_DELAY_S
 
-    def tell(self) -> None:
-        """Log the second that ends now, if it is worth a line, and begin the next one."""
+    def log_if_noteworthy(self) -> None:
+        """Log the counters of the interval that ends now, if noteworthy, and start the next one."""
         cpu_s, self._cpu_s = self._cpu_s, time.process_time()
         if self.noteworthy:
             count, most = self._connections()
--- a/cloverrouter/proxy/logs.py
+++ b/cloverrouter/proxy/logs.py
@@ -1,8 +1,8 @@
-"""Write the log to standard error without ever waiting for whoever reads it.
+"""Write the log to standard error without blocking on its reader.
 
-A collector that stops reading fills the pipe (64 KiB on Linux), and the next `write(2)` would hold up the
-whole process, and every client with it. Lines for which there is no room are dropped, and counted in the next
-line that goes out.
+When a log collector stops reading, the pipe fills (64 KiB on Linux), and the next `write(2)` would block the
+whole process and all its clients. Lines that do not fit are dropped; the next line that is written reports
+their number.
 """
 
 from __future__ import annotations
@@ -14,47 +14,47 @@
 import stat
 
 STANDARD_ERROR = 2
-# What a pipe takes whole or not at all (pipe(7)): no line is cut, unless it is longer.
-PIECE = select.PIPE_BUF
+# Writes of up to PIPE_BUF bytes to a pipe are atomic (pipe(7)): only longer lines can be truncated.
+CHUNK_BYTES = select.PIPE_BUF
 FORMAT = "%(asctime)s %(levelname)s %(name)s: %(message)s"
 
 
 class Output:
-    """A descriptor that is written to without waiting."""
+    """A descriptor with non-blocking writes."""
 
     def __init__(self, descriptor: int) -> None:
         self._descriptor = descriptor
         self._socket: socket.socket | None = None
         mode = os.fstat(descriptor).st_mode
         if stat.S_ISFIFO(mode) or stat.S_ISCHR(mode):
-            # O_NONBLOCK belongs to the open file, which other processes share: it is opened anew for us. A
-            # regular file is not: it would be written from its start, and the disk is waited for in any case.
-            self._descriptor = self._reopened(descriptor)
+            # O_NONBLOCK is a flag of the open file description, which other processes share: it is reopened.
+            # A regular file is not: it would be overwritten from its start, and disk writes block anyway.
+            self._descriptor = self._reopen(descriptor)
         elif stat.S_ISSOCK(mode):
             self._socket = socket.socket(fileno=os.dup(descriptor))
 
     @staticmethod
-    def _reopened(descriptor: int) -> int:
+    def _reopen(descriptor: int) -> int:
         try:
             return os.open(f"/proc/self/fd/{descriptor}", os.O_WRONLY | os.O_NONBLOCK | os.O_NOCTTY)
-        except OSError:  # no /proc, or not ours to open: as it was
+        except OSError:  # no /proc, or no permission: writes may block
             return descriptor
 
     def write(self, data: bytes) -> bool:
-        """False if not all of it could be written at once."""
+        """Write `data`; return False if not all of it could be written without blocking."""
         try:
-            for start in range(0, len(data), PIECE):
-                piece = data[start : start + PIECE]
-                if self._write(piece) < len(piece):
+            for start in range(0, len(data), CHUNK_BYTES):
+                chunk = data[start : start + CHUNK_BYTES]
+                if self._write(chunk) < len(chunk):
                     return False
-        except OSError:  # EAGAIN: it is full; EPIPE, EIO: nobody reads any more; ENOSPC: the disk is full
+        except OSError:  # EAGAIN: buffer full; EPIPE, EIO: the reader has closed it; ENOSPC: disk full
             return False
         return True
 
-    def _write(self, piece: bytes) -> int:
+    def _write(self, chunk: bytes) -> int:
         if self._socket is not None:
-            return self._socket.send(piece, socket.MSG_DONTWAIT | socket.MSG_NOSIGNAL)
-        return os.write(self._descriptor, piece)
+            return self._socket.send(chunk, socket.MSG_DONTWAIT | socket.MSG_NOSIGNAL)
+        return os.write(self._descriptor, chunk)
 
     def close(self) -> None:
         if self._socket is not None:
@@ -64,17 +64,17 @@
 
 
 class LogHandler(logging.Handler):
-    """The log's way out."""
+    """Writes log records to an `Output` and counts those that it drops."""
 
     def __init__(self, output: Output) -> None:
         super().__init__()
         self._output = output
-        self.dropped = 0  # lines, since the last one that went out
+        self.dropped = 0  # lines since the last one that was written
 
     def emit(self, record: logging.LogRecord) -> None:
         try:
             line = self.format(record)
-        except Exception as error:  # a record that can't be formatted is no reason to fail
+        except Exception as error:  # a malformed record must not make its caller fail
             line = f"a log record could not be formatted: {error!r}"
         if self.dropped:
             line = f"{self.dropped} log lines were dropped: nobody read them\n{line}"
@@ -85,12 +85,12 @@
 
 
 def configure() -> None:
-    """Send the log of this process to standard error, from INFO on."""
+    """Send this process's log records of level INFO and above to standard error."""
     root = logging.getLogger()
     root.setLevel(logging.INFO)
     try:
         handler: logging.Handler = LogHandler(Output(STANDARD_ERROR))
-    except OSError:  # whoever started this process has closed it
+    except OSError:  # the parent process has closed standard error
         handler = logging.NullHandler()
     handler.setFormatter(logging.Formatter(FORMAT))
     root.addHandler(handler)
--- a/cloverrouter/proxy/messages.py
+++ b/cloverrouter/proxy/messages.py
@@ -1,4 +1,4 @@
-"""What the parts of the client proxy hand to one another: a client's call and a host's answer."""
+"""Messages between the parts of the proxy: a client's call, a host's answer, and their streamed bodies."""
 
 from __future__ import annotations
 
@@ -8,56 +8,56 @@
 
 from cloverrouter.values import Value
 
-MAX_BODY = 64 * 1024  # held whole, for either side; what is longer may be passed on as it comes
-MOST_BODY = 32 * 1024 * 1024  # of one message
-MAX_HEAD = 16 * 1024
+STREAMING_THRESHOLD_BYTES = 64 * 1024  # shorter bodies and answers are buffered; longer ones may be streamed
+MAX_BODY_BYTES = 32 * 1024 * 1024  # of one request or answer
+MAX_HEAD_BYTES = 16 * 1024
 
 
 class Answer(Value):
-    """A host's whole answer; or, with no body, the beginning of one that is passed on as it comes."""
+    """A host's complete answer; or, with an empty body, the head of one that is streamed."""
 
     status: int
     body: bytes
     content_type: bytes
-    never_ran: bool  # the host says that it has not begun the request
-    report: bytes | None  # its load report, unread
-    length: int | None = None  # of the body of one that is passed on, where the host said
-    waited_ms: float | None = None  # lay here unread, this process having stood still; None: not known
+    never_ran: bool  # the host reports that it has not started the request
+    report: bytes | None  # the host's load report, unparsed
+    length: int | None = None  # of a streamed body, if the host declared it
+    waited_ms: float | None = None  # unread in the socket while this process was paused; None: not known
 
 
 class AnswerSink(Protocol):
-    """Where the pieces of an answer go that is passed on as it comes."""
+    """The receiver of a streamed answer's pieces."""
 
     def write(self, data: bytes) -> bool:
-        """False: the client has enough to read for now; `on_ready` is called when it wants more."""
+        """Send a piece; False asks for a pause until `on_ready` is called: the client reads too slowly."""
 
     def finish(self) -> None:
-        """That was all of it."""
+        """Mark the end of a complete answer."""
 
-    def cut(self) -> None:
-        """There will be no more, and the client must be able to tell."""
+    def abort(self) -> None:
+        """End a truncated answer in a way that lets the client detect it."""
 
     on_ready: Callable[[], None] | None
 
 
 class BodySink(Protocol):
-    """Where the pieces of a body go that is passed on as it comes."""
+    """The receiver of a streamed request body's pieces."""
 
-    def more(self, data: bytes) -> bool:
-        """False: the host has enough for now; it says `Upload.go_on` when it wants more."""
+    def write_body(self, data: bytes) -> bool:
+        """Send a piece; False asks for a pause until `Upload.resume` is called: the host reads too slowly."""
 
-    def whole(self) -> None:
-        """That was all of it."""
+    def finish_body(self) -> None:
+        """Mark the end of a complete body."""
 
 
 class Upload:
-    """The rest of a body that is passed on as it comes: between a client's connection and an attempt.
+    """The rest of a streamed request body, between the client's connection and an attempt.
 
-    At most what one read brought waits in here: nothing more is read until that has gone on.
+    Buffers at most the bytes of one read: reading pauses until these have been forwarded.
     """
 
     def __init__(self, length: int | None, pause: Callable[[], None], resume: Callable[[], None]) -> None:
-        """`length`: of the whole body, where the client said; `pause` and `resume` its sending."""
+        """`length`: of the whole body, if declared; `pause` and `resume`: stop and continue reading it."""
         self.length = length
         self.ended = False
         self.on_end: Callable[[], None] | None = None
@@ -71,35 +71,35 @@
         if self._sink is None:
             self._pending += data
             self._pause()
-        elif not self._sink.more(data):
+        elif not self._sink.write_body(data):
             self._pause()
 
     def end(self) -> None:
         self.ended = True
         if self._sink is not None:
-            self._sink.whole()
+            self._sink.finish_body()
         if self.on_end is not None:
             self.on_end()
 
     # The host's side
 
     def attach(self, sink: BodySink) -> None:
-        """The attempt that the rest goes to; there is no second one."""
+        """Connect the attempt that the rest is sent to; there is only one, since the body is not kept."""
         self._sink = sink
         pending, self._pending = bytes(self._pending), bytearray()
-        ready = sink.more(pending) if pending else True
+        ready = sink.write_body(pending) if pending else True
         if self.ended:
-            sink.whole()
+            sink.finish_body()
         elif ready:
             self._resume()
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         if not self.ended:
             self._resume()
 
 
 class Call(ABC):
-    """One request of a client. Exactly one of the three answers is given; later ones go nowhere."""
+    """One request of a client. Exactly one of the three answers is given; later ones are ignored."""
 
     __slots__ = (
         "arrived_ms",
@@ -108,16 +108,16 @@
         "content_type",
         "cost_ms",
         "idempotency_key",
+        "is_retry",
         "key",
         "method",
-        "repeat",
         "request_id",
         "target",
         "tenant",
         "timeout_ms",
     )
 
-    arrived_ms: float  # when its last byte had come
+    arrived_ms: float  # when its last byte arrived
     method: bytes
     target: bytes
     request_id: bytes
@@ -127,20 +127,20 @@
     class_name: str
     tenant: str | None
     key: str | None
-    timeout_ms: float | None  # how long the client waits; None: it did not say
+    timeout_ms: float | None  # how long the client waits; None: not declared
     cost_ms: float | None
-    repeat: bool
-    former = False  # found valid by the classes as they were before the last change
-    late = False  # it lay here unread, this process having stood still: `arrived_ms` is as far as known
-    upload: Upload | None = None  # where only the beginning of the body is in `body`
-
-    def left(self) -> bool:
-        """Has its client gone? To be asked in the moment before an attempt begins; whoever finds out here has
-        told the handler so (`Handler.gone`) by the return."""
+    is_retry: bool  # the client marked it as a retry
+    fits_previous_classes = False  # valid by the classes before the last settings change
+    is_delayed = False  # read late, after a process pause or a backlog: `arrived_ms` is an estimate
+    upload: Upload | None = None  # set where `body` holds only the first part of the body
+
+    def is_disconnected(self) -> bool:
+        """Return whether the client has disconnected. To be called right before an attempt starts; if the
+        disconnect is detected here, `Handler.disconnected` has been called before this returns."""
         return False
 
     def begin(self, answer: Answer) -> AnswerSink | None:
-        """Begin to pass on a long answer; None if nobody is there to take it."""
+        """Start streaming an answer; None if the client can't receive it."""
         return None
 
     @abstractmethod
--- a/cloverrouter/proxy/observer.py
+++ b/cloverrouter/proxy/observer.py
@@ -1,8 +1,8 @@
-"""The observer seam: what happened and why, after the fact.
+"""The observer interface: notifications of what happened to requests, and the reason.
 
-The node calls an observer at a few moments of a request's life. An observer never blocks, never raises
-for a request's sake and keeps what it keeps within bounds of its own. With none set, the cost is one
-comparison at each of these moments.
+The node calls an observer at a few points in the lifetime of a request. An observer must not block or let
+an error reach the request, and bounds the memory that it uses. Without an observer the cost is one comparison
+at each of these points.
 """
 
 from __future__ import annotations
@@ -11,22 +11,22 @@
 from enum import Enum
 from typing import NamedTuple, Protocol
 
-from cloverrouter.interface import Outcome, Why
+from cloverrouter.interface import GiveUpReason, Outcome
 from cloverrouter.proxy.containment import ContainedErrors
 from cloverrouter.proxy.messages import Call
 
 
-class Final(Enum):
-    """How a request that was taken ended."""
+class RequestResult(Enum):
+    """How an accepted request ended."""
 
     SERVED = "served"
     REFUSED = "refused"
     FAILED = "failed"
-    GONE = "gone"  # the client left before its answer
+    GONE = "gone"  # the client disconnected before its answer
 
 
-class Tried(NamedTuple):
-    """An attempt that has ended; `took_ms` counts from its start here."""
+class AttemptResult(NamedTuple):
+    """An attempt that has ended; `took_ms` counts from its start in this process."""
 
     server: str
     outcome: Outcome
@@ -34,64 +34,75 @@
 
 
 class Observer(Protocol):
-    def taken(self, call: Call) -> None:
-        """A request came whole and goes to the module."""
-
-    def tried(self, call: Call, tried: Tried, report: tuple[float, ...] | None) -> None:
-        """An attempt for `call` ended; `report` is the server's load report, in the settings' order."""
-
-    def ended(
-        self, call: Call, final: Final, why: Why | None, trail: Sequence[Tried], took_ms: float
+    def request_accepted(self, call: Call) -> None:
+        """The request was accepted and is passed to the balancer."""
+
+    def attempt_ended(self, call: Call, result: AttemptResult, report: tuple[float, ...] | None) -> None:
+        """An attempt for `call` ended; `report` is the server's load report, in the order of the settings."""
+
+    def request_ended(
+        self,
+        call: Call,
+        final: RequestResult,
+        reason: GiveUpReason | None,
+        attempts: Sequence[AttemptResult],
+        took_ms: float,
     ) -> None:
-        """The final answer was given, or the client left. `took_ms` counts from the request's last byte."""
+        """The final answer was given, or the client disconnected. `took_ms` counts from the request's last
+        byte."""
 
-    def turned_away(self, status: int) -> None:
-        """What can't be valid was answered with `status`; the module never saw it."""
+    def invalid_request_rejected(self, status: int) -> None:
+        """An invalid request was answered with `status` and never reached the balancer."""
 
-    def not_taken(self, call: Call, why: str) -> None:
-        """Refused before the module saw it, and why."""
+    def request_refused_early(self, call: Call, reason: str) -> None:
+        """The request was refused for this reason before it reached the balancer."""
 
-    def said(self, text: str) -> None:
-        """The module said something for the log."""
+    def balancer_logged(self, text: str) -> None:
+        """The balancer wrote a line to the log."""
 
 
 class Observers:
-    """Several observers where the seam has room for one. What one of them raises is kept from the request
-    that it was told of, and from the others."""
+    """Forwards each notification to several observers. An error raised by one of them reaches neither the
+    request concerned nor the other observers."""
 
     def __init__(self, observers: tuple[Observer, ...], errors: ContainedErrors) -> None:
         self.observers = observers
         self._errors = errors
 
-    def _each(self, call: Callable[[Observer], None]) -> None:
+    def _notify_each(self, call: Callable[[Observer], None]) -> None:
         for observer in self.observers:
             try:
                 call(observer)
             except Exception as error:
                 self._errors.report("observer", error, type(observer).__name__)
 
-    def taken(self, call: Call) -> None:
-        self._each(lambda observer: observer.taken(call))
+    def request_accepted(self, call: Call) -> None:
+        self._notify_each(lambda observer: observer.request_accepted(call))
 
-    def tried(self, call: Call, tried: Tried, report: tuple[float, ...] | None) -> None:
-        self._each(lambda observer: observer.tried(call, tried, report))
+    def attempt_ended(self, call: Call, result: AttemptResult, report: tuple[float, ...] | None) -> None:
+        self._notify_each(lambda observer: observer.attempt_ended(call, result, report))
 
-    def ended(
-        self, call: Call, final: Final, why: Why | None, trail: Sequence[Tried], took_ms: float
+    def request_ended(
+        self,
+        call: Call,
+        final: RequestResult,
+        reason: GiveUpReason | None,
+        attempts: Sequence[AttemptResult],
+        took_ms: float,
     ) -> None:
-        self._each(lambda observer: observer.ended(call, final, why, trail, took_ms))
+        self._notify_each(lambda observer: observer.request_ended(call, final, reason, attempts, took_ms))
 
-    def turned_away(self, status: int) -> None:
-        self._each(lambda observer: observer.turned_away(status))
+    def invalid_request_rejected(self, status: int) -> None:
+        self._notify_each(lambda observer: observer.invalid_request_rejected(status))
 
-    def not_taken(self, call: Call, why: str) -> None:
-        self._each(lambda observer: observer.not_taken(call, why))
+    def request_refused_early(self, call: Call, reason: str) -> None:
+        self._notify_each(lambda observer: observer.request_refused_early(call, reason))
 
-    def said(self, text: str) -> None:
-        self._each(lambda observer: observer.said(text))
+    def balancer_logged(self, text: str) -> None:
+        self._notify_each(lambda observer: observer.balancer_logged(text))
 
 
-def joined(there: Observer | None, new: Observer, errors: ContainedErrors) -> Observer:
-    """Return `new` beside the observers that are set already."""
-    before = there.observers if isinstance(there, Observers) else () if there is None else (there,)
-    return Observers((*before, new), errors)
+def with_observer(current: Observer | None, new: Observer, errors: ContainedErrors) -> Observer:
+    """Return `current` extended by `new`."""
+    existing = current.observers if isinstance(current, Observers) else () if current is None else (current,)
+    return Observers((*existing, new), errors)
--- a/cloverrouter/proxy/open_requests.py
+++ b/cloverrouter/proxy/open_requests.py
@@ -1,25 +1,25 @@
-"""Requests that are not over yet, and their attempts that are out."""
+"""Open requests of the node and their attempts in flight."""
 
 from __future__ import annotations
 
 from cloverrouter.clock import Handle
-from cloverrouter.proxy.carrier import Sent
+from cloverrouter.proxy.carrier import SentAttempt
 from cloverrouter.proxy.exchange import Host
 from cloverrouter.proxy.messages import AnswerSink, Call
-from cloverrouter.proxy.observer import Tried
+from cloverrouter.proxy.observer import AttemptResult
 
 
 class OpenAttempt:
-    """An attempt that is out."""
+    """An attempt in flight at a server."""
 
     __slots__ = (
-        "due_ms",
         "exchange",
-        "first_ms",
+        "expires_ms",
+        "first_byte_ms",
         "host",
         "number",
-        "ran_ms",
         "request",
+        "sent_active_ms",
         "sent_ms",
         "sink",
         "timer",
@@ -30,25 +30,34 @@
         self.number = number
         self.host = host
         self.sent_ms = sent_ms
-        self.ran_ms = 0.0  # when it was sent, on the clock that stands still with this process
-        self.due_ms = float("inf")  # when its time is over
-        self.first_ms: float | None = None  # how long a long answer took to begin
-        self.exchange: Sent | None = None
-        self.sink: AnswerSink | None = None  # where a long answer of it goes
+        self.sent_active_ms = 0.0  # when it was sent, on the clock that excludes process pauses
+        self.expires_ms = float("inf")  # when it times out
+        self.first_byte_ms: float | None = None  # time to the start of a streamed answer
+        self.exchange: SentAttempt | None = None
+        self.sink: AnswerSink | None = None  # receives the body of a streamed answer
         self.timer: Handle | None = None
 
 
 class OpenRequest:
-    """A call until its answer is given and its attempts have ended."""
+    """A call, from its arrival until it is answered and all its attempts have ended."""
 
-    __slots__ = ("answered", "call", "deadline_ms", "id", "may_have_run", "out", "trail", "tries")
+    __slots__ = (
+        "answered",
+        "attempt_count",
+        "attempt_results",
+        "attempts",
+        "call",
+        "deadline_ms",
+        "id",
+        "may_have_run",
+    )
 
     def __init__(self, request_id: int, call: Call, deadline_ms: float | None) -> None:
         self.id = request_id
         self.call = call
         self.deadline_ms = deadline_ms
-        self.tries = 0
-        self.out: dict[int, OpenAttempt] = {}
-        self.answered = False  # or nothing is owed any more
-        self.may_have_run = False  # an attempt that was written whole ended without its answer
-        self.trail: list[Tried] | None = None  # how its attempts ended, for an observer
+        self.attempt_count = 0
+        self.attempts: dict[int, OpenAttempt] = {}
+        self.answered = False  # or the client no longer waits for an answer
+        self.may_have_run = False  # a fully written attempt ended without an answer
+        self.attempt_results: list[AttemptResult] | None = None  # of its ended attempts, for an observer
--- a/cloverrouter/proxy/presence.py
+++ b/cloverrouter/proxy/presence.py
@@ -1,8 +1,8 @@
-"""How many processes are this proxy just now? Two, from an upgrade's start until the old one has left.
+"""Count the running processes of this proxy: two during an upgrade, until the old one has exited.
 
-Each holds the lock of one numbered file in the folder that they share, for as long as it lives; the kernel
-lets go of it whatever way the process ends. Cheap enough to be asked ten times a second, and quick to load:
-it is the first thing that a process does.
+Each process holds an flock(2) lock on one numbered file in a shared directory while it runs; the kernel
+releases it however the process ends. A count is cheap enough for ten a second. The module must be quick to
+import: it is the first thing that a process does.
 """
 
 from __future__ import annotations
@@ -10,24 +10,24 @@
 import fcntl
 import os
 
-FOLDER = "cloverrouter-processes"
-MOST = 4  # processes; more are not counted
+DIRECTORY_NAME = "cloverrouter-processes"
+MAX_PROCESSES = 4  # more are not counted
 
 
 class Presence:
-    """Raises OSError where the folder can't be used."""
+    """This process's entry among the proxy's processes; raises OSError if the directory can't be used."""
 
     def __init__(self, directory: str) -> None:
-        folder = os.path.join(directory, FOLDER)
-        os.makedirs(folder, mode=0o700, exist_ok=True)
-        self._paths = [os.path.join(folder, str(i)) for i in range(MOST)]
-        self._mine: int | None = None
+        lock_directory = os.path.join(directory, DIRECTORY_NAME)
+        os.makedirs(lock_directory, mode=0o700, exist_ok=True)
+        self._paths = [os.path.join(lock_directory, str(i)) for i in range(MAX_PROCESSES)]
+        self._own_number: int | None = None
         self._descriptor: int | None = None
         self.count()
 
     @classmethod
-    def found(cls, directory: str | None) -> Presence | None:
-        """None where processes can't tell of one another: each counts as alone then."""
+    def open_if_usable(cls, directory: str | None) -> Presence | None:
+        """Return None if the processes can't detect each other; each then counts as the only one."""
         if not directory:
             return None
         try:
@@ -36,8 +36,8 @@
             os.write(2, f"another process of this proxy would not be noticed: {error}\n".encode())
             return None
 
-    def _try(self, number: int) -> int | None:
-        """The descriptor of that file with its lock; None if another process holds it."""
+    def _try_lock(self, number: int) -> int | None:
+        """Lock the file of `number` and return its descriptor; None if another process holds the lock."""
         descriptor = os.open(self._paths[number], os.O_RDWR | os.O_CREAT, 0o600)
         try:
             fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -47,28 +47,28 @@
         return descriptor
 
     def count(self) -> int:
-        """Processes that are there, this one included. Raises OSError."""
+        """Return the number of running processes, including this one. Raises OSError."""
         others = 0
-        for number in range(MOST):
-            if number == self._mine:
+        for number in range(MAX_PROCESSES):
+            if number == self._own_number:
                 continue
-            descriptor = self._try(number)
+            descriptor = self._try_lock(number)
             if descriptor is None:
                 others += 1
-            elif self._mine is None:
-                self._mine, self._descriptor = number, descriptor
+            elif self._own_number is None:
+                self._own_number, self._descriptor = number, descriptor
             else:
                 os.close(descriptor)
         return others + 1
 
-    def others(self) -> bool:
-        """Is another process there, as far as can be told?"""
+    def has_others(self) -> bool:
+        """Return whether another process is running; False if that can't be determined."""
         try:
             return self.count() > 1
         except OSError:
             return False
 
-    def leave(self) -> None:
-        descriptor, self._descriptor, self._mine = self._descriptor, None, None
+    def release(self) -> None:
+        descriptor, self._descriptor, self._own_number = self._descriptor, None, None
         if descriptor is not None:
             os.close(descriptor)
--- a/cloverrouter/proxy/service.py
+++ b/cloverrouter/proxy/service.py
@@ -1,4 +1,4 @@
-"""One client proxy: configuration, wiring, signals, exit code."""
+"""Run one client proxy: configuration, wiring, signals, exit code."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 from cloverrouter.proxy.containment import Periodic
 from cloverrouter.proxy.discovery import Watch
 from cloverrouter.proxy.frontend import Frontend
-from cloverrouter.proxy.node import Node, longest_ms
-from cloverrouter.proxy.observer import joined
+from cloverrouter.proxy.node import Node, max_timeout_ms
+from cloverrouter.proxy.observer import with_observer
 from cloverrouter.proxy.presence import Presence
-from cloverrouter.proxy.shutdown import KILLED_S, LONGEST_S, drain
+from cloverrouter.proxy.shutdown import KILL_MARGIN_S, MAX_DEADLINE_S, drain
 from cloverrouter.proxy.signals import EarlySignals
-from cloverrouter.proxy.startup import retried
+from cloverrouter.proxy.startup import retry
 from cloverrouter.proxy.upstream import Upstream
 from cloverrouter.proxy.validity import Gate
 from cloverrouter.proxy.wake import Loop
@@ -31,192 +31,198 @@
 if TYPE_CHECKING:
     from cloverrouter.site import Site
 
-KEPT_SHARE = 0.06  # of the memory is for long bodies that are held; on their way they are there twice
-LOOK_S = 0.1  # for another process of this proxy
+BODY_BUFFER_SHARE = 0.06  # of the memory, for buffered long bodies; in transit each takes twice its size
+PRESENCE_POLL_S = 0.1  # between checks for another process of this proxy
 log = logging.getLogger("cloverrouter.proxy")
 
 
-def opened_by_now() -> int:
-    """Descriptors that are open; as many as are expected where the system does not tell."""
+def open_descriptor_count() -> int:
+    """Return the number of open descriptors, or the expected one without /proc."""
     try:
-        return len(os.listdir("/proc/self/fd")) - 1  # it takes one to look
+        return len(os.listdir("/proc/self/fd")) - 1  # without the one that lists them
     except OSError:
-        return descriptors.AT_START
+        return descriptors.OPEN_AT_START
 
 
 async def serve(
-    told: Config, early: EarlySignals, site: Site | None = None, presence: Presence | None = None
+    current: Config, early: EarlySignals, site: Site | None = None, presence: Presence | None = None
 ) -> int:
-    """Run until SIGTERM, or until the module fails; the exit code.
+    """Run until SIGTERM, or until the decisions raise an error; return the exit code.
 
-    `early`: signals that came before; `site`: the operators' settings; `presence`: tells of another process
-    of this proxy, if there may be one.
+    `current`: the configuration in force, which a reload replaces; `early`: signals before the loop ran;
+    `site`: the operators' settings; `presence`: detects other processes of this proxy, if there may be any.
     """
     loop = asyncio.get_running_loop()
     stop = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
-        # Danger: from the first connection on, its default action would lose what was taken.
+        # From the first connection on, the default action would lose accepted requests.
         loop.add_signal_handler(number, stop.set)
     crashes: list[BaseException] = []
-    first = told
+    initial = current
 
     def crash(error: BaseException) -> None:
-        log.critical("the decisions crashed; what is owed is answered without them", exc_info=error)
+        log.critical("the decisions crashed; open requests are answered without them", exc_info=error)
         node.errors.recorder.write()
         crashes.append(error)
         stop.set()
 
-    def on_list(found: HostList) -> None:
-        listed(ListKind.FULL if found.full else ListKind.DELTA, found)
+    def on_list(listing: HostList) -> None:
+        handle_list(ListKind.FULL if listing.full else ListKind.DELTA, listing)
 
-    others, callers = 0, descriptors.callers(told.sockets)
-    if told.management is not None:
-        others += descriptors.MANAGEMENT + callers
+    extra_descriptors, operator_calls = 0, descriptors.max_operator_calls(current.sockets)
+    if current.management is not None:
+        extra_descriptors += descriptors.MANAGEMENT_DESCRIPTORS + operator_calls
     if site is not None:
-        # What an installation has turned off it does not import: this is the only way to a direction.
+        # A disabled extension is not imported: extensions are reached through this import alone.
         from cloverrouter import compose
 
-        others += compose.descriptors(site)
-    most, opened = resource.getrlimit(resource.RLIMIT_NOFILE)[0], opened_by_now()
+        extra_descriptors += compose.descriptors(site)
+    max_descriptors, open_at_start = resource.getrlimit(resource.RLIMIT_NOFILE)[0], open_descriptor_count()
 
-    def shared(processes: int) -> descriptors.Budget:
-        return descriptors.budget(told.sockets, most, processes, others, opened)
+    def limits_for(processes: int) -> descriptors.ConnectionLimits:
+        return descriptors.connection_limits(
+            current.sockets, max_descriptors, processes, extra_descriptors, open_at_start
+        )
 
     try:
-        budget = shared(1)
+        budget = limits_for(1)
     except ValueError as error:
         raise config.StartError(str(error)) from error
 
     def reload() -> None:
-        """Danger: a bad file must not cost what works; whatever is wrong with it, the watch goes on."""
-        nonlocal told
+        """Reread the file; one that can't be used changes nothing, and the watch goes on."""
+        nonlocal current
         if appliance is not None:
             appliance.reload()
         try:
-            new = config.reload(os.environ, told)
+            new = config.reload(os.environ, current)
         except Exception as error:
             log.error("configuration not reread: %s: %s", type(error).__name__, error)
             if management is not None:
                 management.figures.reloads_failed += 1
             return
-        old, told = told, new
-        for text in config.kept(new.told, first.told):
+        old, current = current, new
+        for text in config.unapplied_changes(new.parsed_file, initial.parsed_file):
             log.warning("not changed: %s", text)
         if new.conn_idle_ms != old.conn_idle_ms or new.settings.limits != old.settings.limits:
-            upstream.retime(new.conn_idle_ms, new.settings.limits.connect_timeout_ms)
+            upstream.set_timeouts(new.conn_idle_ms, new.settings.limits.connect_timeout_ms)
         if new.settings != old.settings:
-            # One step: a class that the front lets in, the module knows.
-            resettle()
+            # In one step, so that the decisions know every class that the frontend accepts.
+            apply_settings()
             if new.settings.classes != old.settings.classes:
-                gate.reclass({cls.name: cls.idempotency for cls in new.settings.classes})
+                gate.update_classes({cls.name: cls.idempotency for cls in new.settings.classes})
             log.info("settings: classes %s from now on", ", ".join(gate.classes))
         if new.discovery != old.discovery:
             log.info("discovery is at %s:%d from now on", *new.discovery)
-            watch.move(new.discovery)
+            watch.change_address(new.discovery)
         if management is not None:
             management.figures.reloads_ok += 1
 
     processes = 1
-    kept = int(told.memory_mb * KEPT_SHARE) * 1024 * 1024
+    buffer_bytes = int(current.memory_mb * BODY_BUFFER_SHARE) * 1024 * 1024
 
-    def resettle() -> None:
-        limits = told.settings.limits
+    def apply_settings() -> None:
+        limits = current.settings.limits
         limits = replace(limits, max_open=limits.max_open // processes)
-        node.resettle(replace(told.settings, limits=limits))
-        gate.retry_after_ms = retry_after_ms(told.settings)
+        node.apply_settings(replace(current.settings, limits=limits))
+        gate.retry_after_ms = retry_after_ms(current.settings)
 
-    def share() -> None:
-        """Danger: two processes that each keep to the whole limit hold twice as much as the proxy may."""
+    def update_limits() -> None:
+        """Divide the limits among this proxy's processes: two that used them in full would exceed them."""
         nonlocal processes
         assert presence is not None
-        loop.call_later(LOOK_S, share)
+        loop.call_later(PRESENCE_POLL_S, update_limits)
         try:
             count = presence.count()
         except OSError as error:
-            log.error("whether another process is there can't be told: %s", error)
+            log.error("can't determine whether another process of this proxy is running: %s", error)
             return
         if count != processes:
             log.info("processes that share the limits: %d", count)
             processes = count
-            upstream.resize(shared(processes).hosts)
-            frontend.resize(shared(processes).clients)
-            frontend.keeping.budget = kept // processes
-            resettle()
+            upstream.set_max_open(limits_for(processes).hosts)
+            frontend.resize(limits_for(processes).clients)
+            frontend.buffer_budget.limit_bytes = buffer_bytes // processes
+            apply_settings()
 
-    upstream = Upstream(budget.hosts, told.conn_idle_ms, told.settings.limits.connect_timeout_ms)
-    pushed = not told.settings.subscribe
-    grace_s = told.settings.safety.drain_grace_ms / 1000
-    watch = Watch(told.discovery, told.clock, pushed, on_list, lambda: node.discovery_failed(), grace_s)
-    node = Node(told.settings, told.seed, upstream, watch.start, crash)
-    upstream.on_sign = node.seen
-    appliance = None if site is None else compose.Appliance(site, told, node)
-    listed = node.listed if appliance is None else appliance.listed
+    upstream = Upstream(budget.hosts, current.conn_idle_ms, current.settings.limits.connect_timeout_ms)
+    pushed = not current.settings.subscribe
+    drain_grace_s = current.settings.safety.drain_grace_ms / 1000
+    watch = Watch(
+        current.discovery, current.clock, pushed, on_list, lambda: node.discovery_failed(), drain_grace_s
+    )
+    node = Node(current.settings, current.seed, upstream, watch.start, crash)
+    upstream.on_signal = node.report_signal
+    appliance = None if site is None else compose.Appliance(site, current, node)
+    handle_list = node.listed if appliance is None else appliance.listed
     management = None
-    if told.management is not None:
-        # Imported here: where the platform names no place for it, it costs nothing.
+    if current.management is not None:
+        # Imported here, so that it costs nothing where the platform gives no address for it.
         import tempfile
         from pathlib import Path
 
         from cloverrouter.management import Management
 
         folder = Path(os.environ.get("TMPDIR") or tempfile.gettempdir())
-        management = Management(told.clock, folder, lambda: gate.classes, lambda: gate.stopping, callers)
-        management.attach(node, listed)
-        listed = management.listed
-        node.observer = joined(node.observer, management.figures, node.errors)
+        management = Management(
+            current.clock, folder, lambda: gate.classes, lambda: gate.stopping, operator_calls
+        )
+        management.attach(node, handle_list)
+        handle_list = management.forward_list
+        node.observer = with_observer(node.observer, management.figures, node.errors)
     if os.environ.get("PROXY_TALLY"):
-        from cloverrouter.proxy.tally import EVERY_S, Tally
+        from cloverrouter.proxy.tally import LINE_INTERVAL_S, Tally
 
-        def counted() -> dict[str, int]:
-            contained = node.errors.counts.total()
+        def counters() -> dict[str, int]:
+            contained_errors = node.errors.counts.total()
             return {
                 "connections": upstream.open,
                 "connects": upstream.connects,
-                "contained_errors": contained,
+                "contained_errors": contained_errors,
                 "clients": frontend.count,
                 **frontend.load.total,
             }
 
-        tally = Tally(node.view, counted)
-        node.observer = joined(node.observer, tally, node.errors)
-        Periodic(loop, node.errors, "tally", EVERY_S, tally.tell)
-    if told.known is not None:
-        watch.resume(told.known.version, told.known.entries)
-        listed(ListKind.RESTORED, told.known)
-    if pushed or told.known is None:
+        tally = Tally(node.view, counters)
+        node.observer = with_observer(node.observer, tally, node.errors)
+        Periodic(loop, node.errors, "tally", LINE_INTERVAL_S, tally.log_line)
+    if current.known is not None:
+        watch.resume(current.known.version, current.known.entries)
+        handle_list(ListKind.RESTORED, current.known)
+    if pushed or current.known is None:
         watch.start()
     loop.add_signal_handler(signal.SIGHUP, reload)
     if early.reload_wanted:
-        # The file may have been read before it was changed.
+        # The file may have been read before the change that this signal announced.
         loop.call_soon(reload)
-    classes = {cls.name: cls.idempotency for cls in told.settings.classes}
+    classes = {cls.name: cls.idempotency for cls in current.settings.classes}
     gate = Gate(node, classes, loop.time)
-    gate.retry_after_ms = retry_after_ms(told.settings)
-    frontend = Frontend(gate, budget.clients, kept)
+    gate.retry_after_ms = retry_after_ms(current.settings)
+    frontend = Frontend(gate, budget.clients, buffer_bytes)
     if appliance is not None:
         await appliance.start(frontend)
     try:
         if not stop.is_set():
-            await frontend.listen(told.listen, told.inherited)
+            await frontend.listen(current.listen, current.inherited)
     except OSError as error:
-        text = f"listen: {told.listen[0]}:{told.listen[1]} can't be listened on: {error}"
-        if told.inherited is not None:
-            text = f"PROXY_INHERITED_FD={told.inherited} is no listening socket: {error}"
+        text = f"listen: {current.listen[0]}:{current.listen[1]} can't be listened on: {error}"
+        if current.inherited is not None:
+            text = f"PROXY_INHERITED_FD={current.inherited} is not a listening socket: {error}"
         raise config.StartError(text) from error
-    if management is not None and told.management is not None:
-        frontend.observer = joined(frontend.observer, management.figures, node.errors)
-        await management.listen(told.management)
+    if management is not None and current.management is not None:
+        frontend.observer = with_observer(frontend.observer, management.figures, node.errors)
+        await management.listen(current.management)
     if presence is not None:
-        share()
-    log.info("%s serves at %s:%d", told.name, *told.listen)
+        update_limits()
+    log.info("%s serves at %s:%d", current.name, *current.listen)
 
     await stop.wait()
     if appliance is not None:
         appliance.leave()
     if crashes:
         watch.stop()
-    killed_s = min(LONGEST_S, longest_ms(told.settings) / 1000) + KILLED_S
-    await drain(frontend, node, told.inherited is not None, appliance, killed_s)
+    kill_after_s = min(MAX_DEADLINE_S, max_timeout_ms(current.settings) / 1000) + KILL_MARGIN_S
+    await drain(frontend, node, current.inherited is not None, appliance, kill_after_s)
     node.errors.run("close", watch.stop)
     if management is not None:
         node.errors.run("close", management.close)
@@ -224,33 +230,36 @@
         await appliance.close()
     signals.block()
     if crashes:
-        log.critical("ends after the crash of the decisions: %s", crashes[0])
+        log.critical("exiting after a crash of the decisions: %s", crashes[0])
         return 1
     return 0
 
 
 def main(site_path: str | None = None, presence: Presence | None = None) -> int:
-    """`site_path`: the operators' file; without it `PROXY_SITE` names one, or there is none."""
+    """Run the proxy and return its exit code.
+
+    `site_path`: the operators' file; by default the one that `PROXY_SITE` names, if any.
+    """
     logs.configure()
     early = EarlySignals()
     site = None
     try:
-        told = config.load(os.environ)
+        loaded = config.load(os.environ)
         site_path = site_path or os.environ.get("PROXY_SITE")
         if site_path:
             from cloverrouter import compose
 
             site = compose.read_site(site_path)
-    except Exception as error:  # whatever is wrong with a file
+    except Exception as error:  # any error in a file
         log.critical("no usable configuration: %s: %s", type(error).__name__, error)
         return 2
     runner = asyncio.Runner(loop_factory=Loop)
     try:
-        retried(runner.get_loop)
-        return runner.run(serve(told, early, site, presence))
+        retry(runner.get_loop)
+        return runner.run(serve(loaded, early, site, presence))
     except config.StartError as error:
-        log.critical("the settings can't be carried out: %s", error)
+        log.critical("the settings can't be applied: %s", error)
         return 2
     finally:
-        with suppress(OSError):  # of closing its own descriptors: all is done
+        with suppress(OSError):  # from closing the loop's own descriptors; the work is done
             runner.close()
--- a/cloverrouter/proxy/shutdown.py
+++ b/cloverrouter/proxy/shutdown.py
@@ -1,5 +1,7 @@
-"""How a client proxy's process ends without losing what it has taken: told to by SIGTERM, or because its
-decisions have failed, when what is owed is answered without them (`Node.failed`).
+"""Shut down a client proxy without losing accepted requests.
+
+The reason is SIGTERM, or an error in the decisions; then open requests are answered without the decisions
+(`Node.failed`).
 """
 
 from __future__ import annotations
@@ -13,70 +15,73 @@
 if TYPE_CHECKING:
     from cloverrouter.compose import Appliance
 
-# After SIGTERM connections go on coming for a while: until then they are taken and served.
-STILL_ACCEPTING_S = 0.5
+# New connections keep arriving for a while after SIGTERM; for this time they are accepted and served.
+ACCEPT_PERIOD_S = 0.5
 POLL_S = 0.02
-LAST_BYTES_S = 0.5  # for half-sent requests and answers still being read, once nothing is owed
-# The platform's: SIGKILL comes no sooner after SIGTERM than the longest deadline, or so much of it, and this.
-KILLED_S, LONGEST_S = 0.7, 3.0
-LAST_LOOK_S = 0.2  # before it is gone: time for those that were accepted last to be answered
-MOST_STEPS = 10  # of the loop, for connections that are still being accepted then
-GONE_S = 0.1  # before that, this process has answered and gone
+CLIENT_GRACE_S = 0.5  # for incomplete requests and unread answers, once every complete request is answered
+# The platform sends SIGKILL, at the earliest, the longest deadline (MAX_DEADLINE_S at most) plus
+# KILL_MARGIN_S after SIGTERM.
+KILL_MARGIN_S, MAX_DEADLINE_S = 0.7, 3.0
+ANSWER_MARGIN_S = 0.2  # from the last accepted connection to the exit, for its answer
+MAX_ACCEPT_STEPS = 10  # iterations of the loop, for connections that are still being accepted at the end
+EXIT_MARGIN_S = 0.1  # from the exit of this process to the earliest SIGKILL
 
 
 async def drain(
     frontend: Frontend,
     node: Node,
-    succeeded: bool,
+    has_successor: bool,
     appliance: Appliance | None,
-    killed_s: float = float("inf"),
+    kill_after_s: float = float("inf"),
 ) -> None:
-    """Leave without losing what was taken. Every call has a deadline, so this ends; what is not over shortly
-    before the platform may kill this process is ended by it.
+    """Answer all accepted requests and close the connections.
+
+    Every request has a deadline, so this terminates; requests that are still open shortly before the platform
+    may kill this process are ended then.
 
-    `succeeded`: another process takes connections from the same listening socket. `killed_s`: the platform
-    ends this process no sooner than in so many seconds.
+    `has_successor`: another process accepts connections from the same listening socket. `kill_after_s`: the
+    minimum number of seconds until the platform kills this process.
     """
     loop = asyncio.get_running_loop()
-    gone_by_s = loop.time() + killed_s - GONE_S
-    # Danger: clients ask on what is open up to the process's end, and would wait past it for their answers.
-    node.leave((loop.time() + STILL_ACCEPTING_S) * 1000, gone_by_s * 1000)
+    exit_by_s = loop.time() + kill_after_s - EXIT_MARGIN_S
+    # Clients send requests on open connections until the exit, with deadlines after it: answer these earlier.
+    node.set_drain_deadline((loop.time() + ACCEPT_PERIOD_S) * 1000, exit_by_s * 1000)
     frontend.gate.stopping = True
-    if succeeded:
-        # Danger: a request that crosses the end of its connection is turned back unheard. The other process
-        # takes all that is new; answers end the connections here, which nothing crosses.
+    if has_successor:
+        # A request that is in transit while its idle connection is closed would be reset. The other process
+        # accepts new connections; those here are closed by their next answers, when no request is in transit.
         frontend.stop_accepting()
     else:
         frontend.close_idle(spare_new=True)
-    await asyncio.sleep(STILL_ACCEPTING_S)
-    await frontend.accept_rest(gone_by_s - LAST_LOOK_S)
+    await asyncio.sleep(ACCEPT_PERIOD_S)
+    await frontend.accept_queued(exit_by_s - ANSWER_MARGIN_S)
     frontend.close()
     if appliance is not None:
-        appliance.stop_taking()
+        appliance.stop_accepting()
     while True:
-        await _settle(frontend, node, gone_by_s)
-        # What lies here unread is still taken; what has not come whole by now is not.
-        frontend.turn_away()
+        await _settle(frontend, node, exit_by_s)
+        # Requests in the receive buffers are still accepted; those that are incomplete by now are rejected.
+        frontend.refuse_incomplete_requests()
         await asyncio.sleep(POLL_S)
-        if node.busy and loop.time() >= gone_by_s:
-            node.abandon_all() if node.failed else node.end_now()
-        if not node.busy and not (frontend.owing and loop.time() < gone_by_s):
+        if node.busy and loop.time() >= exit_by_s:
+            node.abandon_all() if node.failed else node.answer_all_now()
+        if not node.busy and not (frontend.has_unfinished_answers and loop.time() < exit_by_s):
             break
-    for _ in range(MOST_STEPS):
+    for _ in range(MAX_ACCEPT_STEPS):
         if not frontend.listener.accepting:
             return
         await asyncio.sleep(0)
 
 
-async def _settle(frontend: Frontend, node: Node, gone_by_s: float) -> None:
-    """Until nothing is owed, and for a while for what is half here."""
+async def _settle(frontend: Frontend, node: Node, exit_by_s: float) -> None:
+    """Wait until all requests are answered, and `CLIENT_GRACE_S` more for incomplete requests."""
     loop = asyncio.get_running_loop()
-    owed_s = frontend.ran_s()
-    # Danger: a client that neither finishes its request nor reads would keep the program from ending.
-    while node.busy or (frontend.busy and frontend.ran_s() < owed_s + LAST_BYTES_S):
-        if loop.time() >= gone_by_s:
+    last_open_s = frontend.active_time_s()
+    # Limited, as a client that neither completes its request nor reads would keep the process from exiting.
+    while node.busy or (frontend.busy and frontend.active_time_s() < last_open_s + CLIENT_GRACE_S):
+        if loop.time() >= exit_by_s:
             return
-        if node.busy or frontend.owing:
-            owed_s = frontend.ran_s()
+        if node.busy or frontend.has_unfinished_answers:
+            last_open_s = frontend.active_time_s()
         await asyncio.sleep(POLL_S)
         frontend.close_idle(spare_new=True)
--- a/cloverrouter/proxy/signals.py
+++ b/cloverrouter/proxy/signals.py
@@ -1,8 +1,8 @@
-"""Signals before the event loop takes them and after it has ended.
+"""Handle signals before the event loop runs and after it has ended.
 
-asyncio handles them while the loop runs. Before, SIGHUP would end the process by its default action, and
-where it was ignored a new configuration would go unread; after, `loop.close()` restores the default actions,
-and a signal that comes while the interpreter ends would replace the exit code.
+asyncio handles them while the loop runs. Before that, the default action of SIGHUP would end the process, and
+if it were ignored, a new configuration would not be read. Afterwards `loop.close()` restores the default
+actions, and a signal during interpreter shutdown would replace the exit code.
 """
 
 from __future__ import annotations
@@ -11,12 +11,14 @@
 import sys
 from types import FrameType
 
-TAKEN = (signal.SIGHUP, signal.SIGTERM, signal.SIGINT)
+HANDLED_SIGNALS = (signal.SIGHUP, signal.SIGTERM, signal.SIGINT)
 
 
 class EarlySignals:
-    """What came before the loop: SIGHUP is remembered, SIGTERM ends the process in order (nothing is taken
-    yet)."""
+    """Handles signals before the loop runs: SIGHUP is remembered for a reload, SIGTERM exits with status 0.
+
+    No connection has been accepted yet, so there is nothing to drain.
+    """
 
     def __init__(self) -> None:
         self.reload_wanted = False
@@ -32,5 +34,5 @@
 
 
 def block() -> None:
-    """Let no signal interfere from here to the end of the process; SIGKILL ends it all the same."""
-    signal.pthread_sigmask(signal.SIG_BLOCK, TAKEN)
+    """Block SIGHUP, SIGTERM and SIGINT until the process ends (pthread_sigmask(3))."""
+    signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
--- a/cloverrouter/proxy/sockets.py
+++ b/cloverrouter/proxy/sockets.py
@@ -1,7 +1,7 @@
-"""System calls on connections whose failure is the peer's doing, and expected.
+"""Socket operations that handle the failures a peer can cause.
 
-A peer may close or reset its connection between any two calls of ours. Each call here has an answer for that
-case instead of an error.
+A peer may close or reset its connection between any two system calls of this process. Each function here
+returns a result in that case instead of raising.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 import sys
 from contextlib import suppress
 
-# `struct linger`, two of C's int: on, for no time. Made without the module `struct`, which takes memory.
-LINGERS_NOT = (1).to_bytes(4, sys.byteorder) + bytes(4)
+# `struct linger`, two C ints: l_onoff = 1, l_linger = 0. Built without the module `struct` to save memory.
+LINGER_ZERO = (1).to_bytes(4, sys.byteorder) + bytes(4)
 
-# Errors of accept(2) that belong to the connection which was to be accepted: it has ended, and the next one
-# is to be tried ("Error handling" there). EPERM: a firewall forbids it.
+# Errors of accept(2) that concern only the connection to be accepted: it has failed, and the next one should
+# be tried (accept(2), "Error handling"). EPERM: firewall rules forbid the connection.
 CONNECTION_ERRORS = frozenset(
     {
         errno.ECONNABORTED,
@@ -35,11 +35,11 @@
 
 
 def half_close(transport: asyncio.Transport) -> bool:
-    """Send FIN behind what was written, and go on reading; False if the peer has ended the connection.
+    """Send FIN after the written data and keep reading; return False if the peer has closed the connection.
 
-    shutdown(2) fails with ENOTCONN once the peer's RST is there. Where the peer has closed its socket, RST
-    answers the bytes that are written just before, on loopback within that very call. asyncio's `write_eof`
-    lets the error through.
+    shutdown(2) fails with ENOTCONN once the peer's RST has arrived. If the peer has closed its socket, the
+    bytes written just before provoke that RST, on loopback within the same call. asyncio's `write_eof` does
+    not catch the error.
     """
     try:
         transport.write_eof()
@@ -50,20 +50,20 @@
 
 
 def reset(transport: asyncio.Transport, sock: socket.socket) -> None:
-    """End a connection with RST (socket(7), SO_LINGER): its peer can tell that something is missing."""
+    """Close a connection with RST (socket(7), SO_LINGER), so that the peer detects a truncated message."""
     with suppress(OSError):
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGERS_NOT)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_ZERO)
     transport.abort()
 
 
 def close(sock: socket.socket) -> None:
-    """Close a socket. Its descriptor is free whatever close(2) says, also where that is an error."""
+    """Close a socket, ignoring errors: the descriptor is released even if close(2) fails."""
     with suppress(OSError):
         sock.close()
 
 
 def has_unread_data(sock: socket.socket) -> bool:
-    """Has the peer sent something, or its end, that has not been read yet?"""
+    """Whether unread data, end of stream or an error is pending on the socket."""
     try:
         sock.recv(1, socket.MSG_PEEK)
     except (BlockingIOError, InterruptedError):
@@ -74,13 +74,16 @@
 
 
 def peer_has_closed(sock: socket.socket) -> bool:
-    """Has the peer ended its sending, or the connection, whatever lies here unread before that? False where
-    the system does not tell, or can't just now (poll(2): ENOMEM): who is there is owed an answer."""
+    """Whether the peer has shut down or closed its side, even with unread data pending.
+
+    False where the system has no POLLRDHUP, or poll(2) fails (ENOMEM): a peer that may still be connected is
+    owed an answer.
+    """
     poller = select.poll()
     try:
         poller.register(sock, getattr(select, "POLLRDHUP", 0))
         return bool(poller.poll(0))
     except OSError:
         return False
-    except ValueError:  # it is closed, and has no descriptor any more
+    except ValueError:  # the socket is closed: its descriptor is -1
         return True
--- a/cloverrouter/proxy/startup.py
+++ b/cloverrouter/proxy/startup.py
@@ -1,7 +1,7 @@
-"""Steps of a start that the machine may refuse for a moment, and that would otherwise keep the proxy down.
+"""Retry startup steps that can fail for a short time, which would otherwise keep the proxy from starting.
 
-A port may still belong to a process that is ending, and a machine that starts many processes at once may have
-no memory or descriptor left just then.
+A port may still be in use by a process that is exiting, and a machine that starts many processes at once may
+be out of memory or descriptors for a moment.
 """
 
 from __future__ import annotations
@@ -12,31 +12,31 @@
 from typing import TypeVar
 
 T = TypeVar("T")
-# Before each try; in all 5 s, well within the time in which a proxy has to be ready.
-WAITS_S = (0.0, 0.02, 0.04, 0.08, 0.16, 0.32, *[0.5] * 9)
+# Delay before each attempt; 5 s in total, well within the time in which a proxy has to become ready.
+RETRY_DELAYS_S = (0.0, 0.02, 0.04, 0.08, 0.16, 0.32, *[0.5] * 9)
 
 
-def retried(step: Callable[[], T]) -> T:
-    """Call `step` until it raises no OSError; raise its last one after all of `WAITS_S`. Blocks."""
-    last: OSError | None = None
-    for wait_s in WAITS_S:
-        time.sleep(wait_s)
+def retry(step: Callable[[], T]) -> T:
+    """Call `step` until it raises no OSError; raise the last one if all attempts fail. Blocks the thread."""
+    last_error: OSError | None = None
+    for delay_s in RETRY_DELAYS_S:
+        time.sleep(delay_s)
         try:
             return step()
         except OSError as error:
-            last = error
-    assert last is not None
-    raise last
+            last_error = error
+    assert last_error is not None
+    raise last_error
 
 
-async def retried_in_loop(step: Callable[[], T]) -> T:
-    """The same without blocking the event loop."""
-    last: OSError | None = None
-    for wait_s in WAITS_S:
-        await asyncio.sleep(wait_s)
+async def retry_in_loop(step: Callable[[], T]) -> T:
+    """Call `step` as `retry` does, without blocking the event loop."""
+    last_error: OSError | None = None
+    for delay_s in RETRY_DELAYS_S:
+        await asyncio.sleep(delay_s)
         try:
             return step()
         except OSError as error:
-            last = error
-    assert last is not None
-    raise last
+            last_error = error
+    assert last_error is not None
+    raise last_error
--- a/cloverrouter/proxy/wake.py
+++ b/cloverrouter/proxy/wake.py
@@ -1,7 +1,7 @@
-"""The event loop of a proxy, which notices that it stood still and says so before anything is judged by time.
+"""The event loop of a proxy, which detects process pauses and reports them before any timer is evaluated.
 
-A `Loop` looks at the clock each time it comes back from its sockets. What is ready there is read before the
-timers that have become due meanwhile, as asyncio has it; a gap is told to the parts before both.
+A `Loop` reads the clock after each poll of its sockets. As in asyncio, ready sockets are read before the
+timers that have expired meanwhile; the `on_pause` callbacks run before both.
 """
 
 from __future__ import annotations
@@ -17,231 +17,274 @@
 from typing import Any
 
 from cloverrouter.clock import now_s
-from cloverrouter.membership.standing import FRESH_S, LATE_S, TOLD_S, Cause, Gap, Standing, arrival
+from cloverrouter.membership.standing import (
+    GAP_LOG_THRESHOLD_S,
+    LATE_POLL_S,
+    READ_AGE_CHECK_S,
+    LoopGap,
+    PauseCause,
+    PauseTracker,
+    arrival_bounds,
+)
 from cloverrouter.proxy.containment import ContainedErrors
-from cloverrouter.proxy.descriptors import TRIES, Room, missing
+from cloverrouter.proxy.descriptors import MAX_RECLAIMS, DescriptorBudget, is_descriptor_exhaustion
 from cloverrouter.proxy.overload import OverloadDetector
 
-# `struct tcp_info` of Linux (linux/tcp.h): eight bytes, of which the first is the state, `tcpi_rto`, in
-# microseconds and never 0, and behind ten more figures `tcpi_last_data_recv`, in ms.
-INFO_BYTES, RETRANSMIT_TIMEOUT, LAST_DATA = 56, slice(8, 12), slice(52, 56)
-QUIET_S = 1.0  # between two lines on a process that starves
-# What ran out in a gap is put off by so long, for what lies here to be read; a starved process would put it
-# off for ever.
-PUT_OFF_S, PUT_OFF_TIMES = 0.1, 3
-FIRST_S = 1.0  # so long after a gap a connection that was there by its end may be read from the first time
-WOKE_S = 0.05  # so long after a gap what is read may be of before its end, in a pass of its own
-WAITED_S = 0.0005  # whoever had to wait for so long at its sockets found nothing ready there
-Ready = list[tuple[selectors.SelectorKey, int]]  # as `selectors.BaseSelector.select` has it
+# `struct tcp_info` of Linux (linux/tcp.h): eight bytes, the first of which is the state; `tcpi_rto`, in
+# microseconds and never 0; ten more 32-bit fields; `tcpi_last_data_recv`, in ms.
+TCP_INFO_BYTES, TCPI_RTO, TCPI_LAST_DATA_RECV = 56, slice(8, 12), slice(52, 56)
+STARVED_LOG_INTERVAL_S = 1.0  # between two log lines on a process that is starved of CPU time
+# A timeout that expired in a gap is extended by this time, so that pending data is read first. The number of
+# extensions is limited, as a starved process would extend it forever.
+TIMEOUT_EXTENSION_S, MAX_TIMEOUT_EXTENSIONS = 0.1, 3
+# Up to this time after a gap, the first read of a connection that was opened before its end may still be due.
+FIRST_READ_WINDOW_S = 1.0
+JUST_RESUMED_S = 0.05  # data read within this time after a gap may have arrived before its end
+BLOCKED_POLL_S = 0.0005  # a poll that took longer than this had found nothing ready
+Ready = list[tuple[selectors.SelectorKey, int]]  # the result type of `selectors.BaseSelector.select`
 log = logging.getLogger(__name__)
 
 
 def data_age_s(sock: socket.socket) -> float | None:
-    """How long ago the last data of a connection came; None where the kernel does not tell."""
+    """Return the seconds since a connection last received data; None if the kernel does not report them."""
     try:
-        told = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, INFO_BYTES)
+        info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_BYTES)
     except (OSError, AttributeError):
         return None
-    # Where sockets are led elsewhere, all of it may be 0, or all but the state, which would say that it came
-    # just now. A real connection always has a time-out for retransmission.
-    if len(told) < INFO_BYTES or not any(told[RETRANSMIT_TIMEOUT]):
+    # Where sockets are redirected or emulated, all fields may be 0, or all but the state, which would read as
+    # "received just now". A real connection always has a retransmission timeout.
+    if len(info) < TCP_INFO_BYTES or not any(info[TCPI_RTO]):
         return None
-    return int.from_bytes(told[LAST_DATA], sys.byteorder) / 1000
+    return int.from_bytes(info[TCPI_LAST_DATA_RECV], sys.byteorder) / 1000
 
 
-class Wake:
-    """What the parts of one process ask about its standing still; of one that never does, by itself."""
+class PauseDetector:
+    """Records the pauses of one process, for the modules that measure time.
+
+    Without a `Loop` that reports to it, it behaves as in a process that is never paused.
+    """
 
     def __init__(self) -> None:
-        self.standing = Standing()
+        self.pauses = PauseTracker()
         self.overload = OverloadDetector()
-        self.before_s = float("inf")  # when the loop was at its sockets, the time before this one
-        self.cpu_s = 0.0  # of the processor, as of late
-        # Listeners that leave connections queued on purpose, where the loop does not look meanwhile.
-        self.leaving_queued: set[object] = set()
-        self.on_gap: list[Callable[[Gap], None]] = []
-        self.on_told: Callable[[str], None] = lambda text: None
-        self.woke_s = float("-inf")
-        self._ahead_s = now_s() - time.monotonic()  # of a clock that a suspended machine stops
-        self._slept_s = 0.0  # in the last gap
-        self._limits: dict[asyncio.Timeout, int] = {}  # and how often each was put off
-        self._told_s = float("-inf")
-
-    def since_s(self, at_s: float) -> float | None:
-        """Since when what is read now, at `at_s`, may have waited; None: it has just come."""
-        return self.before_s if at_s - self.before_s > FRESH_S else None
-
-    def since_opened_s(self, at_s: float, opened_s: float) -> float | None:
-        """The same of the first data of a connection. Danger: it takes some steps of the loop to be read from
-        the first time, and the gap may lie before any of them, also before it was accepted."""
-        last = self.standing.last
-        if last is None or at_s - last.to_s > FIRST_S or opened_s > last.to_s:
+        self.previous_poll_s = float("inf")  # when the poll before the latest one returned
+        self.last_poll_s = float("inf")  # when the latest poll returned
+        self.cpu_s = 0.0  # CPU time of the process at the latest measurement
+        # Listeners that deliberately leave connections queued and are not polled meanwhile.
+        self.deferring_listeners: set[object] = set()
+        self.on_pause: list[Callable[[LoopGap], None]] = []
+        self.on_report: Callable[[str], None] = lambda text: None
+        self.resumed_s = float("-inf")
+        # Ahead of CLOCK_MONOTONIC, which stops while the machine is suspended.
+        self._clock_offset_s = now_s() - time.monotonic()
+        self._suspended_s = 0.0  # time that the machine was suspended in the last gap
+        self._extensions: dict[asyncio.Timeout, int] = {}  # number of extensions of each active timeout
+        self._last_logged_s = float("-inf")
+
+    def waiting_since_s(self, at_s: float) -> float | None:
+        """Return since when data read at `at_s` may have been pending; None if it has just arrived."""
+        return self.previous_poll_s if at_s - self.previous_poll_s > READ_AGE_CHECK_S else None
+
+    def first_data_waiting_since_s(self, at_s: float, opened_s: float) -> float | None:
+        """Return since when the first data of a connection, opened at `opened_s`, may have been pending.
+
+        Several loop steps pass before a new connection is first read, and the gap may precede any of them,
+        even the accept.
+        """
+        last = self.pauses.last
+        if last is None or at_s - last.to_s > FIRST_READ_WINDOW_S or opened_s > last.to_s:
             return None
         return last.from_s
 
-    def came(
-        self, at_s: float, since_s: float, sock: socket.socket | None, ends_there: bool
+    def arrival_bounds_s(
+        self, at_s: float, since_s: float, sock: socket.socket | None, is_last_data: bool
     ) -> tuple[float, float]:
-        """Between which times the last byte came that is read now, at `at_s`, and not before `since_s`."""
+        """Return the bounds on when the last byte that is read at `at_s` arrived, not before `since_s`."""
         age_s = None if sock is None else data_age_s(sock)
-        return arrival(at_s, since_s, age_s, ends_there, self._slept_s if since_s < self.woke_s else 0.0)
+        return arrival_bounds(
+            at_s, since_s, age_s, is_last_data, self._suspended_s if since_s < self.resumed_s else 0.0
+        )
+
+    def active_time_s(self, at_s: float) -> float:
+        """Return the time on a clock that excludes process pauses.
+
+        It is used to time peers, which had to wait for this process during its pauses.
+        """
+        return at_s - self.pauses.paused_s
+
+    def is_overloaded(self, at_s: float) -> bool:
+        """Whether the loop has fallen behind.
 
-    def ran_s(self, at_s: float) -> float:
-        """A clock that stands still with the process: by it others are judged who had to wait for us."""
-        return at_s - self.standing.stood_s
+        A pause after the latest poll is recorded by the next one. What is read in between is judged as of the
+        latest poll, as if the pause were recorded already.
+        """
+        if at_s - self.last_poll_s > LATE_POLL_S and not self.overload.recovering:
+            at_s = self.last_poll_s
+        return self.overload.is_overloaded(at_s)
 
-    def just_woke(self, at_s: float) -> bool:
-        return at_s - self.woke_s < WOKE_S
+    def just_resumed(self, at_s: float) -> bool:
+        return at_s - self.resumed_s < JUST_RESUMED_S
 
-    def ran_out(self, due_s: float) -> bool:
-        return self.standing.ran_out(due_s)
+    def paused_at_expiry(self, due_s: float) -> bool:
+        return self.pauses.passed_in_last_gap(due_s)
 
-    def stood(self, from_s: float) -> bool:
-        """Has it stood still since then?"""
-        return self.woke_s > from_s
+    def paused_since(self, from_s: float) -> bool:
+        """Whether the process was paused after `from_s`."""
+        return self.resumed_s > from_s
 
     @asynccontextmanager
-    async def patience(self, delay_s: float) -> AsyncIterator[None]:
-        """As `asyncio.timeout`, but put off a little where a gap holds its end. Danger: an answer that came
-        meanwhile, and the end of the time it had, are found in the same moment. But whoever answers had all
-        that time, and what is asked of us by true time is not to be late by the sum of small gaps."""
-        async with asyncio.timeout(delay_s) as limit:
-            self._limits[limit] = 0
+    async def timeout_excluding_pauses(self, delay_s: float) -> AsyncIterator[None]:
+        """Like `asyncio.timeout`, but extended briefly if it expires in a gap.
+
+        After a gap, an answer that arrived in it and the expired timeout are found in the same loop step;
+        the extension lets the answer be read first. The gap as such still counts: the peer had all of that
+        time, and obligations in real time must not be delayed by the sum of small gaps.
+        """
+        async with asyncio.timeout(delay_s) as timeout:
+            self._extensions[timeout] = 0
             try:
                 yield
             finally:
-                del self._limits[limit]
+                del self._extensions[timeout]
 
-    def took(self, from_s: float, to_s: float, cpu_s: float) -> Gap:
-        """It stood from one moment to the other, and used `cpu_s` of the processor meanwhile."""
-        self.woke_s = to_s
-        gap = self.standing.late(from_s, to_s, cpu_s)
-        self.overload.gap(gap.span_s)
+    def record_pause(self, from_s: float, to_s: float, cpu_s: float) -> LoopGap:
+        """Record a gap from `from_s` to `to_s`, in which the process used `cpu_s` seconds of CPU time."""
+        self.resumed_s = to_s
+        gap = self.pauses.record_gap(from_s, to_s, cpu_s)
+        self.overload.record_gap(gap.span_s)
         return gap
 
-    def late(self, from_s: float, to_s: float) -> Gap:
-        """The loop was not at its sockets from one moment to the other."""
+    def loop_delayed(self, from_s: float, to_s: float) -> LoopGap:
+        """Record that the loop did not poll from `from_s` to `to_s`, and extend the timeouts that expired."""
         cpu_s = time.process_time()
-        gap = self.took(from_s, to_s, cpu_s - self.cpu_s)
+        gap = self.record_pause(from_s, to_s, cpu_s - self.cpu_s)
         self.cpu_s = cpu_s
-        ahead_s, self._ahead_s = self._ahead_s, now_s() - time.monotonic()
-        self._slept_s = max(0.0, self._ahead_s - ahead_s)
-        for limit, times in self._limits.items():
-            when_s = limit.when()
-            due = when_s is not None and when_s < to_s + PUT_OFF_S and not limit.expired()
-            if due and times < PUT_OFF_TIMES:
-                self._limits[limit] = times + 1
-                limit.reschedule(to_s + PUT_OFF_S)
-        if gap.span_s >= TOLD_S or gap.cause is Cause.STARVED:
-            self._tell(gap)
+        previous_offset_s, self._clock_offset_s = self._clock_offset_s, now_s() - time.monotonic()
+        self._suspended_s = max(0.0, self._clock_offset_s - previous_offset_s)
+        for timeout, extensions in self._extensions.items():
+            when_s = timeout.when()
+            due = when_s is not None and when_s < to_s + TIMEOUT_EXTENSION_S and not timeout.expired()
+            if due and extensions < MAX_TIMEOUT_EXTENSIONS:
+                self._extensions[timeout] = extensions + 1
+                timeout.reschedule(to_s + TIMEOUT_EXTENSION_S)
+        if gap.span_s >= GAP_LOG_THRESHOLD_S or gap.cause is PauseCause.STARVED:
+            self._report(gap)
         return gap
 
-    def _tell(self, gap: Gap) -> None:
-        if gap.cause is Cause.STARVED and gap.to_s - self._told_s < QUIET_S:
+    def _report(self, gap: LoopGap) -> None:
+        if gap.cause is PauseCause.STARVED and gap.to_s - self._last_logged_s < STARVED_LOG_INTERVAL_S:
             return
-        self._told_s = gap.to_s
+        self._last_logged_s = gap.to_s
         at = time.strftime("%H:%M:%S", time.localtime(time.time() - gap.span_s))
-        count, cause = self.standing.count, gap.cause.value
+        count, cause = self.pauses.count, gap.cause.value
         text = f"stood still {gap.span_s:.1f} s at {at} ({cause}), {count} times by now"
         log.warning("%s", text)
-        self.on_told(text)
+        self.on_report(text)
 
     def alarm(self) -> str | None:
-        return self.standing.alarm(now_s())
+        return self.pauses.alarm(now_s())
 
-    def told(self) -> dict[str, object]:
-        """For operators."""
-        found: dict[str, object] = {"times": self.standing.count, "s": round(self.standing.stood_s, 2)}
-        for name, gap in (("longest", self.standing.longest), ("last", self.standing.last)):
+    def pause_report(self) -> dict[str, object]:
+        """Return the number, total duration, longest and last of the pauses, for operators."""
+        report: dict[str, object] = {"times": self.pauses.count, "s": round(self.pauses.paused_s, 2)}
+        for name, gap in (("longest", self.pauses.longest), ("last", self.pauses.last)):
             if gap is not None:
                 ago_s = round(now_s() - gap.to_s, 1)
-                found[name] = {"s": round(gap.span_s, 2), "cause": gap.cause.value, "ago_s": ago_s}
-        return found
+                report[name] = {"s": round(gap.span_s, 2), "cause": gap.cause.value, "ago_s": ago_s}
+        return report
 
 
 class _Selector(selectors.DefaultSelector):
-    """Notes when the loop comes back from its sockets."""
+    """Records when each poll returns, and reports gaps between polls."""
 
-    def __init__(self, wake: Wake) -> None:
+    def __init__(self, pause_detector: PauseDetector) -> None:
         super().__init__()
-        self._wake, self._at_s = wake, now_s()
-        self.on_late: Callable[[float, float], None] = lambda from_s, to_s: None
+        self._pause_detector = pause_detector
+        pause_detector.last_poll_s = now_s()
+        self.on_gap: Callable[[float, float], None] = lambda from_s, to_s: None
 
     def select(self, timeout: float | None = None) -> Ready:
-        began_s = now_s()
-        found, caught_up = self._wait(timeout, began_s)
-        at_s = now_s()
-        self._wake.before_s, self._at_s = self._at_s, at_s
-        late = at_s - self._wake.before_s > LATE_S
+        detector, began_s = self._pause_detector, now_s()
+        if detector.overload.recovering:
+            found, caught_up = self._select_in_recovery(timeout)
+            at_s = now_s()
+        else:
+            found = super().select(timeout)
+            at_s = now_s()
+            caught_up = not found or at_s - began_s > BLOCKED_POLL_S
+        detector.previous_poll_s, detector.last_poll_s = detector.last_poll_s, at_s
+        late = at_s - detector.previous_poll_s > LATE_POLL_S
         if late:
-            self.on_late(self._wake.before_s, at_s)
-            # Danger: a wait that a stop broke off ends with nothing, its time being over, or with what was
-            # there before; timers would have their turn before what came meanwhile, and that would look new.
+            self.on_gap(detector.previous_poll_s, at_s)
+            # A poll that SIGSTOP interrupted returns nothing, as its timeout has passed, or only what was
+            # ready before. Timers would then run before data that arrived meanwhile is read as if new.
             found = super().select(0) or found
             caught_up = not found
         if caught_up:
             self._note_caught_up(at_s, 0.0 if late else at_s - began_s)
         return found
 
-    def _wait(self, timeout: float | None, began_s: float) -> tuple[Ready, bool]:
-        """What is ready; and whether nothing was, when this began."""
-        if self._wake.overload.recovering:
-            # Danger: a wait for the processor looks like one at the sockets, and would end the time that is
-            # given to read what came in a gap.
-            found = super().select(0)
-            if found or timeout == 0:
-                return found, not found
-            return super().select(timeout), True
-        found = super().select(timeout)
-        return found, not found or now_s() - began_s > WAITED_S
+    def _select_in_recovery(self, timeout: float | None) -> tuple[Ready, bool]:
+        """Return what is ready, and whether nothing was ready when the poll began.
+
+        Time spent waiting for a CPU looks like time spent in the poll, and would end the recovery period for
+        reading what arrived in a gap. So the loop first polls without blocking.
+        """
+        found = super().select(0)
+        if found or timeout == 0:
+            return found, not found
+        return super().select(timeout), True
 
     def _note_caught_up(self, at_s: float, waited_s: float) -> None:
-        if self._wake.leaving_queued:
-            self._wake.overload.waited(waited_s)
+        if self._pause_detector.deferring_listeners:
+            self._pause_detector.overload.exclude_wait(waited_s)
         else:
-            self._wake.overload.caught_up(at_s)
+            self._pause_detector.overload.caught_up(at_s)
 
 
 class Loop(asyncio.SelectorEventLoop):
-    """asyncio's loop on the clock that counts a suspended machine."""
+    """asyncio's selector loop, on a clock that includes time in which the machine is suspended."""
 
     def __init__(self) -> None:
-        self.wake = Wake()
-        self.room = Room()
+        self.pause_detector = PauseDetector()
+        self.descriptor_budget = DescriptorBudget()
         self.contained_errors = ContainedErrors()
-        selector = self._watched = _Selector(self.wake)
+        selector = self._watched = _Selector(self.pause_detector)
         super().__init__(selector)
-        selector.on_late = self._late
+        selector.on_gap = self._on_gap
         self.set_exception_handler(self.contained_errors.handle_loop_error)
 
     def time(self) -> float:
         return now_s()
 
     def watches(self, sock: socket.socket) -> bool:
-        """Is this socket waited for? Not if epoll_ctl(2) has failed, which only asyncio's handler is told."""
+        """Whether the socket is polled: not if epoll_ctl(2) failed, which only asyncio's handler learns."""
         return sock.fileno() in self._watched.get_map()
 
     async def create_connection(self, *what: Any, **how: Any) -> Any:
-        """Danger: a call to discovery that finds no descriptor would have failed, and the next one is not
-        made at once; others make room for it."""
-        for _ in range(TRIES):
+        """Connect as asyncio does, but reclaim descriptors and retry if none is free.
+
+        Otherwise a call to discovery would fail for lack of a descriptor, and the next one is not made at
+        once.
+        """
+        for _ in range(MAX_RECLAIMS):
             try:
                 return await super().create_connection(*what, **how)
             except OSError as error:
-                if not missing(error) or not self.room.make(self.time()):
+                if not is_descriptor_exhaustion(error) or not self.descriptor_budget.reclaim(self.time()):
                     raise
-            await asyncio.sleep(0)  # what was closed is gone then
+            await asyncio.sleep(0)  # closed connections release their descriptors in this step
         return await super().create_connection(*what, **how)
 
-    def _late(self, from_s: float, to_s: float) -> None:
-        if not self.wake.on_gap:
-            return  # nobody serves yet
-        gap = self.wake.late(from_s, to_s)
-        for hear in self.wake.on_gap:
-            self.call_soon(hear, gap)  # ahead of all that is read in this pass
+    def _on_gap(self, from_s: float, to_s: float) -> None:
+        if not self.pause_detector.on_pause:
+            return  # not serving yet
+        gap = self.pause_detector.loop_delayed(from_s, to_s)
+        for callback in self.pause_detector.on_pause:
+            self.call_soon(callback, gap)  # ahead of the reads of this pass
 
 
-def wake_of(loop: object) -> Wake:
-    """The loop's own; where it has none, one that never stands still."""
-    found = getattr(loop, "wake", None)
-    return found if isinstance(found, Wake) else Wake()
+def pause_detector_of(loop: object) -> PauseDetector:
+    """Return the loop's detector, or one that never reports a pause if the loop has none."""
+    found = getattr(loop, "pause_detector", None)
+    return found if isinstance(found, PauseDetector) else PauseDetector()
--- a/cloverrouter/rights.py
+++ b/cloverrouter/rights.py
@@ -1,13 +1,13 @@
-"""The right to act alone, by promises of voters: what a pair's lease and a fleet's leases are both made of.
+"""Leases granted by a quorum of voters: the rules that a pair's lease and a fleet's task leases share.
 
-Rules only: no clock, no socket. Times are milliseconds of the caller's own clock, one that counts a suspended
-machine; no two clocks are ever compared.
+Rules only: no clock, no socket. Times are milliseconds of the caller's own clock, which has to count the time
+for which the machine was suspended; times of two clocks are never compared.
 
-A voter promises itself to one holder at a time, for `Terms.promise_ms` of its own clock from the moment it
-receives a request. A holder counts on that for the shorter `Terms.hold_ms` of its own clock, from the moment
-it *sent* the request, and may act while promises that weigh more than half of all last. Two such sets share a
-voter, and that voter's promise to one ends, on any clocks within the bound on drift, after that one has
-stopped to count on it.
+A voter grants its vote to one holder at a time, for `LeaseTerms.promise_ms` of its own clock from the moment
+it receives a request. The holder relies on the grant for the shorter `LeaseTerms.hold_ms` of its own clock,
+from the moment it *sent* the request, and may act while unexpired grants carry more than half of all weight.
+Two such quorums share a voter, and as long as clocks stay within the bound on drift that voter's grant to the
+one holder ends only after this holder has stopped relying on it.
 """
 
 from __future__ import annotations
@@ -17,13 +17,14 @@
 
 from cloverrouter.values import Value
 
-MOST_PENDING = 64  # requests that are not answered; older ones would give little time anyway
+MAX_PENDING_REQUESTS = 64  # without an answer; a grant for an older one would have little time left
 NEVER = float("-inf")
 H = TypeVar("H")
 
 
-class Terms(Value):
-    """`promise_ms`: what a voter promises. `drift`: clocks run within 1 - drift to 1 + drift of true time."""
+class LeaseTerms(Value):
+    """Duration of a voter's grant (`promise_ms`) and the bound on clock drift (`drift`): a clock runs at 1 -
+    drift to 1 + drift times true time. Raises ValueError for values out of range."""
 
     promise_ms: float = 3000.0
     drift: float = 0.01
@@ -34,100 +35,109 @@
 
     @property
     def hold_ms(self) -> float:
-        """A holder's clock may be slow and a voter's fast: by true time, the holder still stops first."""
+        """Time for which a holder relies on a grant, on its own clock.
+
+        It is short enough that the holder stops first even if its clock is slow and the voter's is fast.
+        """
         return self.promise_ms * (1 - self.drift) / (1 + self.drift)
 
 
-class Stamp(Value):
-    """Who said it, in which life, and as what number of that life's."""
+class RequestId(Value):
+    """Identifies a request by its sender, the sender's incarnation (one run of its process) and a number that
+    rises within the incarnation."""
 
-    box: str
-    life: int
+    member: str
+    incarnation: int
     number: int
 
 
-class Promise(Generic[H]):
-    """One voter's, of one right."""
+class LeaseGrant(Generic[H]):
+    """One voter's grant of one lease: to whom, and until when."""
 
-    def __init__(self, terms: Terms) -> None:
+    def __init__(self, terms: LeaseTerms) -> None:
         self._terms = terms
-        self.to: H | None = None  # also when it is over
-        self.until_ms = NEVER
+        self.holder: H | None = None  # stays set after the grant has expired
+        self.expires_ms = NEVER
 
-    def left_ms(self, now_ms: float) -> float:
-        """For how long it binds; 0 when it does not."""
-        return max(0.0, self.until_ms - now_ms) if self.to is not None else 0.0
+    def remaining_ms(self, now_ms: float) -> float:
+        """Time until the grant expires; 0 if there is none in force."""
+        return max(0.0, self.expires_ms - now_ms) if self.holder is not None else 0.0
 
-    def give(self, now_ms: float, to: H) -> None:
-        """To be asked for only where it does not bind, or binds to the same holder."""
-        self.to, self.until_ms = to, now_ms + self._terms.promise_ms
+    def assign(self, now_ms: float, to: H) -> None:
+        """Grant or renew the lease. The caller checks that no other holder's grant is in force."""
+        self.holder, self.expires_ms = to, now_ms + self._terms.promise_ms
 
-    def free(self) -> None:
-        """Its holder has stopped to count on it."""
-        self.to, self.until_ms = None, NEVER
+    def release(self) -> None:
+        """End the grant early, once its holder has stopped relying on it."""
+        self.holder, self.expires_ms = None, NEVER
 
 
-def more_than_half(weights: Mapping[str, int], until: Mapping[str, float], held: int = 0) -> float:
-    """Up to when promises that last `until` then, by voter, weigh more than half; `held`: weight that is held
-    anyway. Minus infinity if they never do."""
+def quorum_until_ms(
+    weights: Mapping[str, int], expiry_by_voter: Mapping[str, float], granted_weight: int = 0
+) -> float:
+    """The time until which unexpired grants carry more than half of the weight; minus infinity if they never
+    do. `granted_weight` is weight that counts as granted without end."""
     need = sum(weights.values()) / 2
-    for until_ms, voter in sorted(((u, v) for v, u in until.items()), reverse=True):
-        held += weights.get(voter, 0)
-        if held > need:
+    for until_ms, voter in sorted(((u, v) for v, u in expiry_by_voter.items()), reverse=True):
+        granted_weight += weights.get(voter, 0)
+        if granted_weight > need:
             return until_ms
     return NEVER
 
 
-class Count:
-    """A holder's side: when it asked, who has promised, and up to when that is more than half.
+class QuorumTracker:
+    """A holder's record of its requests, the grants for them, and until when these form a quorum.
 
-    `groups`: the weights of voters by name. While voters are changed there are two, the old and the new, and
-    more than half of each is needed.
+    `groups`: the weights of voters by name. During a change of the voters there are two, the old and the new,
+    and more than half of each is needed. Raises ValueError for weights that are negative or all 0.
     """
 
-    def __init__(self, terms: Terms, *groups: Mapping[str, int]) -> None:
+    def __init__(self, terms: LeaseTerms, *groups: Mapping[str, int]) -> None:
         for weights in groups:
             if any(weight < 0 for weight in weights.values()) or sum(weights.values()) <= 0:
                 raise ValueError("weights must be whole numbers from 0 up, and not all 0")
         self._terms, self._groups = terms, [dict(weights) for weights in groups]
         self._number = 0
-        self._sent: dict[int, float] = {}
-        self._until: dict[str, float] = {}
+        self._sent: dict[int, float] = {}  # by request number: when it was sent
+        self._until: dict[str, float] = {}  # by voter: when its grant expires
 
     @property
     def voters(self) -> list[str]:
         return list(dict.fromkeys(name for weights in self._groups for name in weights))
 
-    def ask(self, now_ms: float) -> int:
-        """The number of a request that goes out now."""
+    def next_request_number(self, now_ms: float) -> int:
+        """Allocate the number of a request that is sent now."""
         self._number += 1
         self._sent[self._number] = now_ms
-        while len(self._sent) > MOST_PENDING:
+        while len(self._sent) > MAX_PENDING_REQUESTS:
             del self._sent[next(iter(self._sent))]
         return self._number
 
-    def promised(self, voter: str, number: int) -> bool:
-        """`voter` has promised itself to the request of that number. False if that counts for nothing."""
-        until_ms = self.ends_ms(voter, number)
+    def record_grant(self, voter: str, number: int) -> bool:
+        """Record that `voter` granted the request with this number; False if the grant does not count."""
+        until_ms = self.grant_expires_ms(voter, number)
         self._until[voter] = max(until_ms, self._until.get(voter, until_ms))
         return until_ms > NEVER
 
-    def ends_ms(self, voter: str, number: int) -> float:
-        """Up to when a promise of `voter` counts that answers the request of that number."""
+    def grant_expires_ms(self, voter: str, number: int) -> float:
+        """When a grant of `voter` for the request with this number expires; minus infinity if the request is
+        no longer pending or the voter is unknown."""
         sent_ms = self._sent.get(number)
         if sent_ms is None or not any(voter in weights for weights in self._groups):
             return NEVER
-        # Danger: counted from when the answer came, a slow network would lengthen the right.
+        # Counted from the sending: counted from the answer's arrival, a slow network would extend the lease
+        # beyond the voter's grant.
         return sent_ms + self._terms.hold_ms
 
-    def give_up(self) -> int:
-        """Stop to act, at once and for all that was asked for so far: the number to say so under."""
-        # Danger: an answer that is still under way would bring back a right that has been given away.
+    def abandon(self) -> int:
+        """Drop all grants and all pending requests at once; returns the number for the release message."""
+        # Pending requests have to go, too: an answer still in flight would restore a lease that has been
+        # released.
         self._sent.clear()
         self._until.clear()
         self._number += 1
         return self._number
 
     def until_ms(self) -> float:
-        """Up to when it holds more than half of each group; minus infinity if not."""
-        return min(more_than_half(weights, self._until) for weights in self._groups)
+        """When the quorum of any group ends first; minus infinity if a group has no quorum."""
+        return min(quorum_until_ms(weights, self._until) for weights in self._groups)
--- a/cloverrouter/roster/__init__.py
+++ b/cloverrouter/roster/__init__.py
@@ -1,4 +1,4 @@
-"""Operators' drains over discovery's list: rules, the guard on the last healthy server, and the file."""
+"""Operators' drains applied to discovery's list: rules, last-healthy-server check and persistence."""
 
 from cloverrouter.roster.keeper import Keeper
 
--- a/cloverrouter/roster/guard.py
+++ b/cloverrouter/roster/guard.py
@@ -1,6 +1,6 @@
-"""May this server be drained? Not if nothing that can take work would remain, unless that is meant.
+"""Check against draining the last healthy server by mistake; an operator can confirm the drain.
 
-Rules only. What can take work is what the decision module believes, read from its view.
+Rules only, without I/O. Which servers can take work is read from the decision module's view.
 """
 
 from __future__ import annotations
@@ -12,23 +12,23 @@
 
 
 def condition(view: EndpointView) -> str:
-    """Why a server can't take work, or that it can, in one word or two."""
+    """Return the server's condition, or the reason that it can't take work, as a short text."""
     if view.state is EndpointState.DRAINING:
         return "draining"
     if view.state is EndpointState.GONE:
         return "gone"
     if view.paused_ms > 0:
         return f"paused {view.paused_ms / 1000:.1f}s"
-    if view.doubted:
-        return view.belief.value
-    if view.silent:
+    if view.suspected:
+        return view.liveness.value
+    if view.unresponsive:
         return "silent"
     return "cold" if view.warmth < 1 else "ready"
 
 
 @dataclass(frozen=True, slots=True)
 class LastHealthy:
-    """The drain would leave nothing that can take work. `remaining`: the other servers and their state."""
+    """The drain would leave no server that can take work. `remaining`: the other servers, with states."""
 
     server: str
     remaining: tuple[tuple[str, str], ...]
@@ -42,10 +42,10 @@
 
 
 def check_drain(views: Sequence[EndpointView], server: str) -> LastHealthy | None:
-    """The reason against draining `server`; None if there is none.
+    """Return the reason against draining `server`; None if there is none.
 
-    A server that is not ready by discovery's word can't be missed. One that is ready but paused or silent
-    just now can: it may be the next to recover.
+    A server that discovery does not list as ready may always be drained. One that is listed as ready but is
+    paused or unresponsive is checked like a healthy one: it may be the next to recover.
     """
     target = next((view for view in views if view.name == server), None)
     if target is None or target.state is not EndpointState.READY:
--- a/cloverrouter/roster/keeper.py
+++ b/cloverrouter/roster/keeper.py
@@ -1,8 +1,8 @@
-"""The shell round the overlay: timers, the file, and the commands `drain` and `restore`.
+"""I/O around the overlay: timers, the file, and the commands `drain` and `restore`.
 
-A change is in force in the same step in which it is allowed: the guard's look, the overlay and the
-module's being told have no wait between them, so that of two operators who drain the last two servers at
-once one succeeds. Only then it goes to disk, off the event loop; the answer waits for that.
+The check, the overlay's change and the update of the decision module run without an await between them:
+if two operators drain the last two servers at once, only one succeeds. The change is then saved off the
+event loop, and the response waits for the save.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 from cloverrouter.roster.store import Store
 from cloverrouter.seams import Argument, Command, CommandError, Json, Operator
 
-LONGEST_TIMER_S = 3600.0  # then the clock is looked at again: it may have been set
+LONGEST_TIMER_S = 3600.0  # the wall clock may be set: recheck it at least this often
 log = logging.getLogger(__name__)
 
 
@@ -30,8 +30,11 @@
 
 
 class Keeper:
-    """Keeps the roster. `tell` hands a list to the node, `view` reads what the module believes, `event`
-    is told of each change, `alarm` of what an operator must see until it is mended."""
+    """Applies operators' drains to discovery's list.
+
+    `tell` sends a list to the node, `view` returns the decision module's view, `event` reports each change,
+    and `alarm` sets an alarm, or clears it with None.
+    """
 
     def __init__(
         self,
@@ -60,11 +63,11 @@
     # Discovery
 
     def listed(self, kind: ListKind, found: HostList) -> None:
-        before = {name: self.overlay.state(name) for name in self.overlay.told}
+        before = {name: self.overlay.state(name) for name in self.overlay.discovered}
         overlaid = self.overlay.listed(kind, found)
         self._tell(kind, overlaid)
         changed = [entry.listed.name for entry in found.entries] if kind is ListKind.DELTA else []
-        for name in changed or {*before, *self.overlay.told}:
+        for name in changed or dict.fromkeys((*before, *self.overlay.discovered)):
             old, new = before.get(name, "absent"), self.overlay.state(name)
             if old.removeprefix("drained+") != new.removeprefix("drained+"):
                 self._event("roster", {"server": name, "before": old, "after": new, "by": "discovery"})
@@ -80,7 +83,9 @@
                 self._drain,
                 (
                     server,
-                    Argument("minutes", float, "undo it by itself after so long", least=0.01, most=525_600),
+                    Argument(
+                        "minutes", float, "undo it by itself after so long", minimum=0.01, maximum=525_600
+                    ),
                     Argument("note", str, "why, for the others", default=""),
                     Argument("confirm", str, "the server's id again, to drain the last one that works"),
                 ),
@@ -89,11 +94,11 @@
             Command("restore", "Undo a drain.", self._restore, (server,), changes=True),
         )
 
-    async def _drain(self, who: Operator, told: Mapping[str, Any]) -> Json:
-        server, minutes, now_ms = told["server"], told["minutes"], now_unix_ms()
+    async def _drain(self, operator: Operator, arguments: Mapping[str, Any]) -> Json:
+        server, minutes, now_ms = arguments["server"], arguments["minutes"], now_unix_ms()
         if self.overlay.state(server) == "ready":
             last = check_drain(self._view().endpoints, server)
-            if last is not None and told["confirm"] != server:
+            if last is not None and arguments["confirm"] != server:
                 raise CommandError(
                     "last_healthy",
                     last.text(),
@@ -103,46 +108,53 @@
         until_ms = None if minutes is None else now_ms + minutes * 60_000
         try:
             old = self.overlay.drains.get(server)
-            change = self.overlay.drain(Drain(server, str(who), now_ms, until_ms, told["note"]))
+            change = self.overlay.drain(Drain(server, str(operator), now_ms, until_ms, arguments["note"]))
         except UnknownServer:
             raise self._unknown(server) from None
         except TooManyDrains:
             text = "too many drains are in force"
             raise CommandError("too_many", text, "restore some that are absent") from None
-        return await self._done("drain", who, change, old != change.drain)
+        return await self._done("drain", operator, change, old != change.drain)
 
-    async def _restore(self, who: Operator, told: Mapping[str, Any]) -> Json:
+    async def _restore(self, operator: Operator, arguments: Mapping[str, Any]) -> Json:
         try:
-            change = self.overlay.restore(told["server"])
+            change = self.overlay.restore(arguments["server"])
         except UnknownServer:
-            raise self._unknown(told["server"]) from None
-        return await self._done("restore", who, change, change.before != change.after)
+            raise self._unknown(arguments["server"]) from None
+        return await self._done("restore", operator, change, change.before != change.after)
 
     def _unknown(self, server: str) -> CommandError:
-        known = sorted(self.overlay.told)
+        known = sorted(self.overlay.discovered)
         some = ", ".join(known[:12]) + (f" and {len(known) - 12} more" if len(known) > 12 else "")
         return CommandError("no_server", f"no server is named {server!r}", f"known: {some or 'none'}")
 
-    async def _done(self, word: str, who: Operator, change: Change, changed: bool) -> Json:
+    async def _done(self, command: str, operator: Operator, change: Change, changed: bool) -> Json:
         at_ms = now_unix_ms()
         until_ms = change.drain.until_ms if change.drain else None
-        said = {"server": change.server, "before": change.before, "after": change.after, "by": str(who)}
+        fields = {
+            "server": change.server,
+            "before": change.before,
+            "after": change.after,
+            "by": str(operator),
+        }
         if changed:
-            if change.tell is not None:
-                self._tell(ListKind.DELTA, change.tell)
+            if change.update is not None:
+                self._tell(ListKind.DELTA, change.update)
             self._schedule()
-            log.warning("%s %s by %s: %s -> %s", word, change.server, who, change.before, change.after)
+            log.warning(
+                "%s %s by %s: %s -> %s", command, change.server, operator, change.before, change.after
+            )
             note = change.drain.note if change.drain else ""
-            self._event("operator", {**said, "command": word, "until_ms": until_ms, "note": note})
+            self._event("operator", {**fields, "command": command, "until_ms": until_ms, "note": note})
         saved = await self._save() if changed else self._store is not None
-        return {**said, "changed": changed, "at_ms": at_ms, "until_ms": until_ms, "saved": saved}
+        return {**fields, "changed": changed, "at_ms": at_ms, "until_ms": until_ms, "saved": saved}
 
     async def _save(self) -> bool:
-        """Danger: a disk that is slow to sync would hold up every request, so it is left to a thread."""
+        """Save the drains in a thread: a slow sync on the event loop would stall every request."""
         if self._store is None:
             return False
         async with self._saving:
-            drains = list(self.overlay.drains.values())  # as they are now: the last to write has them all
+            drains = list(self.overlay.drains.values())  # read under the lock: the last save is complete
             try:
                 await asyncio.get_running_loop().run_in_executor(None, self._store.save, drains)
             except OSError as error:
@@ -164,11 +176,11 @@
     def _expire(self) -> None:
         changes = self.overlay.expire(now_unix_ms())
         for change in changes:
-            if change.tell is not None:
-                self._tell(ListKind.DELTA, change.tell)
+            if change.update is not None:
+                self._tell(ListKind.DELTA, change.update)
             log.warning("the drain of %s is over: %s -> %s", change.server, change.before, change.after)
-            said = {"server": change.server, "before": change.before, "after": change.after}
-            self._event("operator", {**said, "by": "its time", "command": "restore", "until_ms": None})
+            fields = {"server": change.server, "before": change.before, "after": change.after}
+            self._event("operator", {**fields, "by": "its time", "command": "restore", "until_ms": None})
         if changes:
             self._saver = asyncio.get_running_loop().create_task(self._save())
         self._schedule()
@@ -176,5 +188,5 @@
     async def close(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
-        async with self._saving:  # what is being written is written
+        async with self._saving:  # waits for a save in progress
             pass
--- a/cloverrouter/roster/store.py
+++ b/cloverrouter/roster/store.py
@@ -1,8 +1,8 @@
-"""The drains on disk: one file, replaced whole, or left as it was.
+"""Persistence of the drains: one file, replaced atomically.
 
 Layout: one line `cloverrouter-drains 1 LENGTH CRC32`, then LENGTH bytes of JSON (UTF-8). LENGTH counts
-bytes, CRC32 is of these bytes, in eight hexadecimal digits. What does not fit in any way is unreadable as
-a whole: nothing is guessed from a part.
+bytes, CRC32 is of these bytes, in eight hexadecimal digits. A file that deviates in any
+way is unreadable as a whole: no entries are recovered from a part.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class UnreadableState(Exception):
-    """The bytes are no state of ours, or only a part of one."""
+    """The data is not a drains file, or is truncated or corrupt."""
 
 
 def encode(drains: Iterable[Drain]) -> bytes:
@@ -39,7 +39,7 @@
 
 
 def decode(data: bytes) -> list[Drain]:
-    """Raises `UnreadableState` for anything but what `encode` wrote, whole."""
+    """Parse the output of `encode`. Raises `UnreadableState` for any other data."""
     head, newline, body = data.partition(b"\n")
     parts = head.decode("ascii", "replace").split(" ")
     if not newline or len(parts) != 4 or parts[0] != MAGIC:
@@ -65,24 +65,24 @@
     drain = Drain(entry["server"], entry["by"], entry["since_ms"], until, entry["note"])
     if not all(isinstance(text, str) for text in (drain.server, drain.by, drain.note)):
         raise ValueError("a name is no text")
-    for figure in (drain.since_ms, *([] if until is None else [until])):
-        if isinstance(figure, bool) or not isinstance(figure, int | float) or not isfinite(figure):
+    for number in (drain.since_ms, *([] if until is None else [until])):
+        if isinstance(number, bool) or not isinstance(number, int | float) or not isfinite(number):
             raise ValueError("a time is no number")
     return drain
 
 
 class Store:
-    """The file in a state directory."""
+    """The drains file in a state directory."""
 
     def __init__(self, directory: Path) -> None:
         self.path = directory / FILE
 
     def load(self) -> tuple[list[Drain], str | None]:
-        """The drains, and where an unreadable file was set aside, with the reason; None if all is well.
+        """Return the drains, and where an unreadable file was moved, with the reason, or None.
 
         Raises OSError if the directory can't be read at all.
         """
-        # A write that was cut off leaves its own file behind: it was never in force.
+        # An interrupted write leaves its temporary file behind, which was never in force.
         self._temporary.unlink(missing_ok=True)
         try:
             with self.path.open("rb") as file:
@@ -105,10 +105,10 @@
         return self.path.with_name(f"{FILE}.new")
 
     def save(self, drains: Iterable[Drain]) -> None:
-        """Replace the file. Raises OSError, and then the old one stands.
+        """Replace the file atomically. On OSError the old file is still in place.
 
-        The bytes are on disk before the name points to them, and the name before this returns: a power cut
-        leaves the old state or the new one.
+        The data is synced before the rename, and the directory before the return: a power failure leaves
+        either the old state or the new one.
         """
         data = encode(drains)
         try:
--- a/cloverrouter/seams.py
+++ b/cloverrouter/seams.py
@@ -1,7 +1,7 @@
-"""Seams that the core owns and directions fill: commands that operators give, and what a direction is to the
-composition root.
+"""Interfaces between the core and its extensions: operators' commands, alarms, task leases, `Direction`.
 
-A direction registers its commands; the control socket carries them. Neither imports the other.
+An extension registers its commands and the control socket dispatches them; neither imports the other.
+`Direction` is the interface of an extension to the composition root.
 """
 
 from __future__ import annotations
@@ -25,8 +25,11 @@
 
 
 class CommandError(Exception):
-    """A command that was not carried out. `code` is for scripts, `text` says what is wrong, `right` what
-    would be right; `more` holds figures to go with it."""
+    """A command was not executed.
+
+    `code` is for scripts, `text` describes the error and `right` the valid input; `more` holds further
+    fields of the response.
+    """
 
     def __init__(self, code: str, text: str, right: str = "", **more: Any) -> None:
         super().__init__(text)
@@ -35,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Operator:
-    """Who gives a command, as the system vouches for it, and by what name they go."""
+    """The peer that sends a command: its credentials from the kernel, and its user name."""
 
     uid: int
     pid: int
@@ -54,25 +57,28 @@
     help: str
     required: bool = False
     default: Value = None
-    least: float | None = None
-    most: float | None = None
+    minimum: float | None = None
+    maximum: float | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class Command:
-    """A named command. `run` gets who asks and the arguments, checked and complete; it raises
-    `CommandError` for whatever can't be done."""
+    """A named command.
+
+    `run` receives the operator and the validated arguments, defaults filled in; it raises `CommandError`
+    if it can't execute the command.
+    """
 
     name: str
     help: str
     run: Callable[[Operator, Mapping[str, Any]], Json | Awaitable[Json]]
     arguments: tuple[Argument, ...] = ()
-    changes: bool = False  # does it change anything, or only tell?
+    changes: bool = False  # False: the command only reads
 
 
 @dataclass(slots=True)
 class Commands:
-    """All commands by name."""
+    """Registry of the commands by name."""
 
     by_name: dict[str, Command] = field(default_factory=dict)
 
@@ -97,44 +103,59 @@
         ]
 
 
-def checked(command: Command, given: Mapping[str, Any]) -> dict[str, Any]:
-    """The arguments of `command`, checked and completed by their defaults.
+def validate_arguments(command: Command, values: Mapping[str, Any]) -> dict[str, Any]:
+    """Return the arguments of `command`, validated and with defaults filled in.
 
-    Raises `CommandError` (`bad_argument`) that names the argument and what would be right.
+    Raises `CommandError` (`bad_argument`) with the name of the argument and its valid values.
     """
-    names = [a.name for a in command.arguments]
-    for name in given:
+    names = [argument.name for argument in command.arguments]
+    for name in values:
         if name not in names:
             right = f"it takes {', '.join(names)}" if names else "it takes none"
             raise CommandError("bad_argument", f"{command.name} has no argument {name!r}", right)
     arguments: dict[str, Any] = {}
-    for a in command.arguments:
-        value = given.get(a.name)
+    for argument in command.arguments:
+        value = values.get(argument.name)
         if value is None:
-            if a.required:
-                raise CommandError("bad_argument", f"{command.name} needs {a.name}", f"{a.name}: {a.help}")
-            arguments[a.name] = a.default
+            if argument.required:
+                raise CommandError(
+                    "bad_argument",
+                    f"{command.name} needs {argument.name}",
+                    f"{argument.name}: {argument.help}",
+                )
+            arguments[argument.name] = argument.default
             continue
-        fits = isinstance(value, a.kind) or (a.kind is float and isinstance(value, int))
-        # Danger: a truth value counts as a whole number, and would pass for 1 second.
-        if not fits or (isinstance(value, bool) and a.kind is not bool):
-            kind = {"str": "a text", "int": "a whole number", "float": "a number", "bool": "true or false"}
-            right = f"{a.name} must be {kind[a.kind.__name__]}: {a.help}"
-            raise CommandError("bad_argument", f"{a.name} is {value!r}", right)
+        kind_matches = isinstance(value, argument.kind) or (argument.kind is float and isinstance(value, int))
+        # bool is a subclass of int in Python: without this check `true` would be accepted as 1 second.
+        if not kind_matches or (isinstance(value, bool) and argument.kind is not bool):
+            kind_texts = {
+                "str": "a text",
+                "int": "a whole number",
+                "float": "a number",
+                "bool": "true or false",
+            }
+            right = f"{argument.name} must be {kind_texts[argument.kind.__name__]}: {argument.help}"
+            raise CommandError("bad_argument", f"{argument.name} is {value!r}", right)
         if isinstance(value, str) and len(value) > 200:
-            raise CommandError("bad_argument", f"{a.name} is too long", "at most 200 characters")
-        low = a.least is not None and isinstance(value, int | float) and not value >= a.least
-        high = a.most is not None and isinstance(value, int | float) and not value <= a.most
-        if low or high:
+            raise CommandError("bad_argument", f"{argument.name} is too long", "at most 200 characters")
+        too_low = (
+            argument.minimum is not None and isinstance(value, int | float) and not value >= argument.minimum
+        )
+        too_high = (
+            argument.maximum is not None and isinstance(value, int | float) and not value <= argument.maximum
+        )
+        if too_low or too_high:
             raise CommandError(
-                "bad_argument", f"{a.name} is {value!r}", f"{a.name} must be from {a.least:g} to {a.most:g}"
+                "bad_argument",
+                f"{argument.name} is {value!r}",
+                f"{argument.name} must be from {argument.minimum:g} to {argument.maximum:g}",
             )
-        arguments[a.name] = value
+        arguments[argument.name] = value
     return arguments
 
 
 class Alarms:
-    """What is wrong until it is mended, by a name for each."""
+    """Active alarms by name; each stays until it is cleared."""
 
     def __init__(self) -> None:
         self._texts: dict[str, str] = {}
@@ -150,10 +171,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Right:
-    """To act on a task, as one of those that may at a time: under this `token`, at this `seat` (from 0), up
-    to `until_s` of CLOCK_BOOTTIME. What is acted on keeps the highest token of each seat that it has seen,
-    and refuses lower ones: nothing else catches an act that its holder was stopped in."""
+class TaskLease:
+    """Permission to act on a task, as one of its concurrent holders, up to `until_s` (CLOCK_BOOTTIME).
+
+    `token` is the fencing token and `seat` the holder's slot, from 0. The resource that is acted on must
+    keep the highest token that it has seen for each slot and reject lower ones: nothing else catches a
+    write of a holder whose process was paused past the end of its lease.
+    """
 
     token: int
     seat: int
@@ -161,65 +185,71 @@
 
 
 class Tasks(Protocol):
-    """Who may act on what only some may do at a time."""
+    """Leases for tasks that only a limited number of proxies may execute at a time."""
+
+    def contend(self, task: str, seat_count: int = 1) -> None:
+        """Start contending for `task`, which has `seat_count` concurrent holders.
+
+        Raises ValueError for an invalid name or number of holders.
+        """
 
-    def want(self, task: str, room: int = 1) -> None:
-        """Contend from here on. Raises ValueError for a name or a room that can't be."""
+    def current_lease(self, task: str, longest_s: float = 0.0) -> TaskLease | None:
+        """Return the lease for an action that begins now and takes `longest_s` at most; None without one.
 
-    def may_act(self, task: str, longest_s: float = 0.0) -> Right | None:
-        """The right to an act that begins now and takes `longest_s` at most. To be asked each time, at the
-        moment of acting."""
+        Callers ask again immediately before each action.
+        """
 
-    def give_back(self, task: str, hand_over: bool = False) -> None:
-        """Stop, at once; `hand_over`: to who has waited longest."""
+    def release(self, task: str, hand_over: bool = False) -> None:
+        """Release the lease now; `hand_over`: to the member that has waited longest."""
 
 
-class Alone:
-    """A proxy that shares nothing with others may do everything."""
+class UncontendedTasks:
+    """Grants every task: for a proxy that shares no tasks with others."""
 
     def __init__(self) -> None:
         self._token = time.time_ns() // 1_000_000
 
-    def want(self, task: str, room: int = 1) -> None:
+    def contend(self, task: str, seat_count: int = 1) -> None:
         pass
 
-    def may_act(self, task: str, longest_s: float = 0.0) -> Right | None:
-        return Right(self._token, 0, float("inf"))
+    def current_lease(self, task: str, longest_s: float = 0.0) -> TaskLease | None:
+        return TaskLease(self._token, 0, float("inf"))
 
-    def give_back(self, task: str, hand_over: bool = False) -> None:
+    def release(self, task: str, hand_over: bool = False) -> None:
         pass
 
 
 class Core:
-    """What all directions of one proxy share: its parts, the events and alarms for operators, each other."""
+    """State shared by all extensions of one proxy: components, events, alarms, the other extensions."""
 
-    def __init__(self, told: Config, node: Node, boot: str) -> None:
-        self.told, self.node, self.boot = told, node, boot
+    def __init__(self, config: Config, node: Node, boot: str) -> None:
+        self.config, self.node, self.boot = config, node, boot
         self.alarms = Alarms()
-        self.hear: list[Callable[[str, Json], None]] = []  # who wants to know of events
-        self.tasks: Tasks = Alone()
-        self.directions: list[Direction] = []  # those that are on, in the order of their start
-        self.keeper: Keeper  # the roster, as operators have it
+        self.event_listeners: list[Callable[[str, Json], None]] = []  # called with kind and fields
+        self.tasks: Tasks = UncontendedTasks()
+        self.directions: list[Direction] = []  # the enabled ones, in the order of their start
+        self.keeper: Keeper  # set by the composition root before any extension is constructed
 
     def now_ms(self) -> float:
-        """Unix time."""
+        """Return the Unix time in milliseconds."""
         return time.time() * 1000
 
     def event(self, kind: str, what: Json) -> None:
-        for hear in self.hear:
-            # Whoever tells of an event is in the middle of its own work, and others want to hear it, too.
-            self.node.errors.run("event", partial(hear, kind, what), kind)
-
-    def take(self, frontend: Frontend, taking: bool) -> None:
-        """From here on this proxy takes work, or leaves it to another: then its clients are to move."""
-        frontend.gate.refusing = not taking
-        if not taking:
+        """Report an event to all listeners."""
+        for listener in self.event_listeners:
+            # A listener that raises must not interrupt the reporting component or the other listeners.
+            self.node.errors.run("event", partial(listener, kind, what), kind)
+
+    def set_accepting(self, frontend: Frontend, accepting: bool) -> None:
+        """Start or stop accepting requests; on a stop, idle connections close so that clients move away."""
+        frontend.gate.refusing = not accepting
+        if not accepting:
             frontend.close_idle()
             for direction in self.directions:
-                direction.leave(final=True)
+                direction.prepare_shutdown(final=True)
 
-    def reread(self, name: str, what: str, step: Callable[[], None]) -> None:
-        """Take a file that the operators may have replaced; a bad one changes nothing."""
+    def reload_file(self, name: str, what: str, step: Callable[[], None]) -> None:
+        """Reload a file that operators may have replaced; a bad one raises an alarm and changes nothing."""
         try:
             step()
         except (OSError, ValueError) as error:
@@ -231,10 +261,10 @@
 
 
 class Direction:
-    """One of the operators' directions, as the composition root sees it. What one does not fill does nothing.
+    """Base class of the extensions; methods that a subclass does not override do nothing.
 
-    It is made, before the proxy listens, only if its table of the operators' file turns it on; whatever can't
-    be carried out is a `StartError` that names the table.
+    An extension is constructed before the proxy listens, and only if its table of the operators' file is
+    enabled. Settings that can't be applied raise a `StartError` that names the table.
     """
 
     def __init__(self, core: Core, table: Any) -> None:
@@ -242,33 +272,33 @@
 
     @staticmethod
     def descriptors(table: Any) -> int:
-        """How many it may hold, which requests then can't."""
+        """Return the number of file descriptors that the extension may use, unavailable to requests."""
         return 0
 
     async def start(self, frontend: Frontend) -> None:
-        """Open what it listens on."""
+        """Open the listening sockets."""
 
     def started(self, frontend: Frontend) -> None:
-        """All directions have."""
+        """Called once all extensions have started."""
 
     def commands(self) -> Iterable[Command]:
-        """For the control socket."""
+        """Return the commands that the control socket offers."""
         return ()
 
-    def tell(self, status: Json) -> None:
-        """Add what operators want to see to `status`: `pair`, `clients`, `protocols`."""
+    def add_status(self, status: Json) -> None:
+        """Add the extension's fields to the status report: `pair`, `clients`, `protocols`."""
 
-    def tell_server(self, server: str, told: Json) -> None:
-        """The same of one server: `protocol`."""
+    def add_server_status(self, server: str, status: Json) -> None:
+        """Add the extension's fields to the status of one server: `protocol`."""
 
     def tick(self) -> None:
-        """Once a second."""
+        """Run periodic work; called once a second."""
 
     def reload(self) -> None:
-        """SIGHUP."""
+        """Reload files on SIGHUP."""
 
-    def leave(self, final: bool) -> None:
-        """The proxy is about to end, or (`final`) nothing is taken from here on."""
+    def prepare_shutdown(self, final: bool) -> None:
+        """Prepare for the proxy's shutdown; `final`: the proxy accepts no more requests from here on."""
 
     async def close(self) -> None:
-        """Nothing is owed any more."""
+        """Release all resources; all responses have been sent."""
--- a/cloverrouter/site/__init__.py
+++ b/cloverrouter/site/__init__.py
@@ -1,4 +1,4 @@
-"""The operators' settings: one file, one table for each feature, all off unless the file turns them on."""
+"""The operators' settings: one file with a table for each feature; every feature is off by default."""
 
 from cloverrouter.site.settings import Control, Site, SiteError, State, check, load
 from cloverrouter.strict import Fault
--- a/cloverrouter/site/settings.py
+++ b/cloverrouter/site/settings.py
@@ -1,8 +1,8 @@
-"""The operators' file to typed settings. Strict: whatever is not known, or not in range, is an error that
-names the file, the key and what would be right; all errors are found in one go.
+"""Load and validate the operators' file into typed settings.
 
-The file is TOML 1.0. Every feature has one table; `enabled` turns it on. A file that is absent, or has no
-table, leaves everything off.
+Validation is strict: an unknown key or a value out of range is an error that names the file, the key and
+the valid values, and all errors are reported at once. The file is TOML 1.0. Every feature has one table, in
+which `enabled` turns it on; without the file, or without the table, the feature is off.
 """
 
 from __future__ import annotations
@@ -19,18 +19,18 @@
 from msgspec import json as msgspec_json
 from msgspec.structs import fields
 
-from cloverrouter.strict import Fault, FileError, read_file, table, unknown
+from cloverrouter.strict import Fault, FileError, convert_table, read_file, unknown_name
 
 VARIABLE = "PROXY_SITE"
 MOST_BYTES = 256 * 1024
-MOST_PATH = 107  # bytes of a Unix socket's path, its closing zero left out (unix(7))
+MOST_PATH = 107  # bytes of a Unix socket's path without the terminating null byte (unix(7))
 SOCKET = "control.sock"
 
 Folder = Annotated[str, Meta(min_length=1, max_length=4096, description="a folder's absolute path")]
 
 
 class Control(Struct, frozen=True):
-    """`[control]`: the socket for the console and for `ctl`."""
+    """`[control]`: the control socket of the console and of `ctl`."""
 
     enabled: Annotated[bool, Meta(description="true or false")] = False
     directory: Folder = "/run/cloverrouter"
@@ -43,7 +43,7 @@
 
 
 class State(Struct, frozen=True):
-    """`[state]`: what lives through a restart."""
+    """`[state]`: the directory of the state that persists across restarts."""
 
     enabled: Annotated[bool, Meta(description="true or false")] = False
     directory: Folder = "/var/lib/cloverrouter"
@@ -56,7 +56,7 @@
 
 
 class Vrrp(Struct, frozen=True):
-    """`[vrrp]`: this box is one of a pair, of which at most one takes work."""
+    """`[vrrp]`: this appliance is one of a pair, of which at most one accepts work."""
 
     enabled: Annotated[bool, Meta(description="true or false")] = False
     name: Member = "a"
@@ -81,7 +81,7 @@
 
 
 class Http3(Struct, frozen=True):
-    """`[http3]`: clients may also come by HTTP/3 over QUIC."""
+    """`[http3]`: clients may also connect with HTTP/3 over QUIC."""
 
     enabled: Annotated[bool, Meta(description="true or false")] = False
     listen: Annotated[str, Meta(description="an address such as 10.0.0.1:443, for UDP")] = "127.0.0.1:8443"
@@ -93,7 +93,7 @@
 
 
 class Http3Servers(Struct, frozen=True):
-    """`[http3_servers]`: servers that are asked by HTTP/3, at the UDP port of their listed port's number."""
+    """`[http3_servers]`: servers reached with HTTP/3, at the UDP port of the same number as listed."""
 
     enabled: Annotated[bool, Meta(description="true or false")] = False
     servers: Annotated[
@@ -106,13 +106,13 @@
 
 
 class Log(Struct, frozen=True):
-    """`[log]`: the log as lines of JSON, with events among them."""
+    """`[log]`: log records and events as lines of JSON."""
 
     enabled: Annotated[bool, Meta(description="true or false")] = False
 
 
 class Leases(Struct, frozen=True):
-    """`[leases]`: tasks that only some proxies of a fleet may do at a time."""
+    """`[leases]`: tasks that only a limited number of proxies may execute at a time."""
 
     enabled: Annotated[bool, Meta(description="true or false")] = False
     name: Member = "p1"
@@ -128,9 +128,9 @@
 
     @property
     def addresses(self) -> dict[str, str]:
-        """Of the other members, by name."""
-        told = dict(member.split("=", 1) for member in self.members)
-        return {name: address for name, address in told.items() if name != self.name}
+        """The addresses of the other members by name."""
+        parsed = dict(member.split("=", 1) for member in self.members)
+        return {name: address for name, address in parsed.items() if name != self.name}
 
 
 class Site(Struct, frozen=True):
@@ -144,23 +144,23 @@
 
 
 class SiteError(FileError):
-    """The operators' file can't be used."""
+    """The operators' file is invalid or can't be read."""
 
 
 def read(text: str) -> tuple[Site | None, list[Fault]]:
-    """The settings in `text`, or all that is wrong with it."""
+    """Return the settings in `text`, or None and all errors in it."""
     faults: list[Fault] = []
     try:
-        told = tomllib.loads(text)
+        parsed = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
         return None, [Fault("", f"is no TOML: {error}", "see https://toml.io for the form")]
     kinds = {field.name: field.type for field in fields(Site)}
     tables: dict[str, Any] = {}
-    for name, value in told.items():
+    for name, value in parsed.items():
         if name not in kinds:
-            faults.append(unknown("table", name, list(kinds)))
+            faults.append(unknown_name("table", name, list(kinds)))
         else:
-            tables[name] = table(name, kinds[name], value, faults)
+            tables[name] = convert_table(name, kinds[name], value, faults)
     if faults:
         return None, faults
     site = Site(**tables)
@@ -171,10 +171,10 @@
     faults += _vrrp_faults(site.vrrp)
     faults += _http3_faults(site.http3)
     faults += _leases_faults(site.leases)
-    own = site.http3_servers
-    if own.enabled and not own.authority.startswith("/"):
+    http3_servers = site.http3_servers
+    if http3_servers.enabled and not http3_servers.authority.startswith("/"):
         right = "must be an absolute path: whoever answers at a server's address would be believed"
-        faults.append(Fault("http3_servers.authority", f"is {own.authority!r}", right))
+        faults.append(Fault("http3_servers.authority", f"is {http3_servers.authority!r}", right))
     if len(os.fsencode(site.control.socket)) > MOST_PATH:
         text = f"is too long: the socket's path would have {len(os.fsencode(site.control.socket))} bytes"
         faults.append(Fault("control.directory", text, f"at most {MOST_PATH} with /{SOCKET}"))
@@ -255,8 +255,10 @@
 
 
 def secret_of(path: str) -> bytes | None:
-    """The secret in that file, if one is named, the line feed at its end left out. Raises OSError, ValueError
-    if it is too short."""
+    """Return the secret in the file `path`, surrounding white space removed; None for an empty path.
+
+    Raises OSError, and ValueError if the secret has fewer than 16 bytes.
+    """
     if not path:
         return None
     secret = Path(path).read_bytes().strip()
@@ -266,7 +268,7 @@
 
 
 def load(path: str) -> Site:
-    """Raises `SiteError` for a file that is missing, too large, or wrong in any way."""
+    """Load the operators' file. Raises `SiteError` if it is missing, too large or invalid."""
     text, faults = read_file(path, MOST_BYTES)
     if text is None:
         raise SiteError(path, faults)
@@ -277,28 +279,28 @@
 
 
 def private_folder(key: str, folder: str) -> Fault | None:
-    """What is wrong with a folder that only its owner may enter; None if it is right or not there yet."""
+    """Return the fault of a folder that must be private to its owner; None if it is valid or absent."""
     try:
-        found = os.stat(folder)
+        status = os.stat(folder)
     except FileNotFoundError:
         if Path(folder).parent.is_dir():
-            return None  # it is made at the start
+            return None  # it is created at the start
         return Fault(key, f"{folder}: its parent folder is not there", "make the parent folder first")
     except OSError as error:
         return Fault(key, f"{folder}: {error.strerror}", "a folder that this user can reach")
-    if not stat.S_ISDIR(found.st_mode):
+    if not stat.S_ISDIR(status.st_mode):
         return Fault(key, f"{folder} is no folder", "name a folder, or remove what is there")
-    if found.st_uid != os.geteuid():
+    if status.st_uid != os.geteuid():
         right = f"it must belong to the proxy's user, {os.geteuid()}"
-        return Fault(key, f"{folder} belongs to user {found.st_uid}", right)
-    if found.st_mode & 0o077:
-        text = f"{folder} has mode {found.st_mode & 0o777:04o}: others can enter it"
+        return Fault(key, f"{folder} belongs to user {status.st_uid}", right)
+    if status.st_mode & 0o077:
+        text = f"{folder} has mode {status.st_mode & 0o777:04o}: others can enter it"
         return Fault(key, text, f"chmod 0700 {folder}")
     return None
 
 
 def check(path: str) -> Site:
-    """`load`, and the folders looked at as they are now. Raises `SiteError`."""
+    """Load the file and check that its folders are usable now. Raises `SiteError`."""
     site = load(path)
     faults = [
         fault
@@ -311,5 +313,5 @@
 
 
 def describe(site: Site) -> str:
-    """The settings in force, those left at their defaults among them, as JSON text."""
+    """Return the settings in force, including defaults, as JSON text."""
     return msgspec_json.format(msgspec_json.encode(site), indent=2).decode()
--- a/cloverrouter/vrrp/__init__.py
+++ b/cloverrouter/vrrp/__init__.py
@@ -1,1 +1,1 @@
-"""VRRP pairs: the state machine of RFC 9568 over UDP, and a lease under which at most one box takes work."""
+"""VRRP pairs: RFC 9568's state machine over UDP, and a lease that lets at most one node accept work."""
--- a/cloverrouter/vrrp/compose.py
+++ b/cloverrouter/vrrp/compose.py
@@ -1,4 +1,4 @@
-"""The operators' `[vrrp]` table to a `Box`."""
+"""Construction of a `VrrpNode` from the operators' `[vrrp]` settings."""
 
 from __future__ import annotations
 
@@ -7,25 +7,25 @@
 from ipaddress import ip_address
 
 from cloverrouter.proxy.config import read_address
-from cloverrouter.rights import Terms
+from cloverrouter.rights import LeaseTerms
 from cloverrouter.site.settings import Vrrp, secret_of
-from cloverrouter.vrrp.pair import Shape
-from cloverrouter.vrrp.shell import Box
+from cloverrouter.vrrp.pair import PairConfig
+from cloverrouter.vrrp.shell import VrrpNode
 
 
-def make_box(
+def make_vrrp_node(
     vrrp: Vrrp,
-    changed: Callable[[bool], None],
+    on_accepting_change: Callable[[bool], None],
     event: Callable[[str], None],
     alarm: Callable[[str, str | None], None],
-) -> Box:
-    """Raises OSError or ValueError for a secret that can't be used."""
+) -> VrrpNode:
+    """Build the node. Raises OSError or ValueError if the secret file is unreadable or invalid."""
     weights = {vrrp.name: vrrp.weight, vrrp.peer: vrrp.peer_weight}
     addresses = {vrrp.peer: read_address(vrrp.peer_address)}
     if vrrp.witness:
         weights[vrrp.witness] = 1
         addresses[vrrp.witness] = read_address(vrrp.witness_address)
-    shape = Shape(
+    config = PairConfig(
         vrrp.name,
         vrrp.peer,
         weights,
@@ -33,9 +33,19 @@
         vrrp.interval_cs,
         ip_address(read_address(vrrp.listen)[0]),
         vrrp.preempt,
-        Terms(promise_ms=float(vrrp.promise_ms)),
+        LeaseTerms(promise_ms=float(vrrp.promise_ms)),
     )
-    # A later figure with each start, as far as the clock goes; voters mend it where it does not.
+    # Higher with each start unless the clock was set back; voters then answer `Stale`, which corrects it.
     life = time.time_ns() // 1_000_000
-    virtual = tuple(ip_address(address) for address in vrrp.addresses)
-    return Box(shape, life, addresses, vrrp.vrid, virtual, secret_of(vrrp.secret_file), changed, event, alarm)
+    virtual_addresses = tuple(ip_address(address) for address in vrrp.addresses)
+    return VrrpNode(
+        config,
+        life,
+        addresses,
+        vrrp.vrid,
+        virtual_addresses,
+        secret_of(vrrp.secret_file),
+        on_accepting_change,
+        event,
+        alarm,
+    )
