--- a/cloverrouter/vrrp/lease.py
+++ b/cloverrouter/vrrp/lease.py
@@ -1,8 +1,8 @@
-"""The right to take work: at any moment at most one box of a pair has it, whatever the network does.
+"""The lease of a pair: at most one of its nodes may accept work at any time, whatever the network does.
 
-Rules only, on those of `cloverrouter.rights`, of which this is the smallest case: one right without a name
-and without tokens, two boxes, perhaps a witness. VRRP's state machine says which box *wants* to be the active
-one; under lost advertisements two may want it. Only a lease lets one take.
+Pure logic on top of `cloverrouter.rights`, in its simplest case: a single right without a name and without
+fencing tokens, two nodes, and optionally a witness. VRRP's state machine decides which node should be active;
+if advertisements are lost, both may become active. Only the lease permits a node to accept work.
 """
 
 from __future__ import annotations
@@ -10,46 +10,52 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from cloverrouter.rights import Count, Promise, Stamp, Terms, more_than_half
+from cloverrouter.rights import LeaseGrant, LeaseTerms, QuorumTracker, RequestId, quorum_until_ms
 
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    stamp: Stamp
+    stamp: RequestId
 
 
 @dataclass(frozen=True, slots=True)
 class Release:
-    """The box has stopped to take. Its stamp's number lies behind those of its requests before."""
+    """The node no longer accepts work. The stamp's number is higher than those of its earlier requests."""
 
-    stamp: Stamp
+    stamp: RequestId
 
 
 @dataclass(frozen=True, slots=True)
 class Grant:
-    """`voter` promises itself to the box, counted from when the box sent the request with this stamp."""
+    """`voter` grants its vote; the lease counts from when the node sent the request with this stamp."""
 
     voter: str
-    stamp: Stamp
+    stamp: RequestId
 
 
 @dataclass(frozen=True, slots=True)
 class Deny:
-    """`left_ms`: how long the voter still is another's, or holds back after its own start."""
+    """The vote is not granted.
+
+    `left_ms`: how long it remains granted to `holder`, or, with an empty `holder`, withheld after the voter's
+    restart.
+    """
 
     voter: str
-    stamp: Stamp
+    stamp: RequestId
     holder: str
     left_ms: float
 
 
 @dataclass(frozen=True, slots=True)
 class Stale:
-    """`voter` has heard a later life of the box than the stamp's. A box whose clock was set back between two
-    lives gets this, and takes a later life for itself."""
+    """`voter` has received a later life of the node than the stamp's.
+
+    This happens to a node whose clock was set back between two starts; it then continues under a later life.
+    """
 
     voter: str
-    stamp: Stamp
+    stamp: RequestId
     life: int
 
 
@@ -57,67 +63,67 @@
 
 
 class Voter:
-    """One vote. Keeps nothing over a restart: a new life holds back until any old promise is over."""
+    """One vote, in memory only: after a restart it is withheld until any earlier grant has expired."""
 
-    def __init__(self, name: str, terms: Terms, now_ms: float) -> None:
+    def __init__(self, name: str, terms: LeaseTerms, now_ms: float) -> None:
         self.name = name
-        # Danger: what was promised before a restart is forgotten, and could be promised to another now.
-        self._quiet_until_ms = now_ms + terms.promise_ms
-        self._promise: Promise[str] = Promise(terms)
-        self._seen: dict[str, tuple[int, int]] = {}  # of each box: its life and highest number
+        # A grant from before a restart is not remembered; without the wait, the vote could be granted twice.
+        self._no_grants_until_ms = now_ms + terms.promise_ms
+        self._vote: LeaseGrant[str] = LeaseGrant(terms)
+        self._latest: dict[str, tuple[int, int]] = {}  # by node: its life and highest number
 
     def holder(self, now_ms: float) -> str | None:
-        return self._promise.to if self._promise.left_ms(now_ms) > 0 else None
+        return self._vote.holder if self._vote.remaining_ms(now_ms) > 0 else None
 
     def handle(self, now_ms: float, message: Request | Release) -> Answer | None:
         stamp = message.stamp
-        life, highest = self._seen.get(stamp.box, (stamp.life, 0))
-        # Danger: a copy, or one that was overtaken, would undo what has been said since: a late release
-        # would free a vote that its box has asked for again in the meantime.
-        if stamp.life < life:
+        life, highest = self._latest.get(stamp.member, (stamp.incarnation, 0))
+        # Duplicates and reordered messages must be ignored: a late release would free a vote that its node
+        # has requested again in the meantime.
+        if stamp.incarnation < life:
             return Stale(self.name, stamp, life)
-        if stamp.life == life and stamp.number <= highest:
+        if stamp.incarnation == life and stamp.number <= highest:
             return None
-        self._seen[stamp.box] = (stamp.life, stamp.number)
+        self._latest[stamp.member] = (stamp.incarnation, stamp.number)
         if isinstance(message, Release):
-            if self._promise.to == stamp.box:
-                self._promise.free()
+            if self._vote.holder == stamp.member:
+                self._vote.release()
             return None
-        if now_ms < self._quiet_until_ms:
-            return Deny(self.name, stamp, "", self._quiet_until_ms - now_ms)
+        if now_ms < self._no_grants_until_ms:
+            return Deny(self.name, stamp, "", self._no_grants_until_ms - now_ms)
         holder = self.holder(now_ms)
-        if holder is not None and holder != stamp.box:
-            return Deny(self.name, stamp, holder, self._promise.left_ms(now_ms))
-        self._promise.give(now_ms, stamp.box)
+        if holder is not None and holder != stamp.member:
+            return Deny(self.name, stamp, holder, self._vote.remaining_ms(now_ms))
+        self._vote.assign(now_ms, stamp.member)
         return Grant(self.name, stamp)
 
 
-class Lease(Count):
-    """A box's side: what it has asked for, what it holds, and whether it may take.
+class Lease(QuorumTracker):
+    """The lease as seen by a node: its pending requests, the votes it holds, and whether it may accept work.
 
-    `weights`: of all voters by name. With two boxes and a witness each weighs 1. With two boxes alone one
-    must weigh more, or neither can ever take without the other.
+    `weights`: of all voters by name. With two nodes and a witness each weighs 1. With two nodes alone one
+    must weigh more, since otherwise neither could ever accept work without the other.
     """
 
-    def __init__(self, box: str, life: int, weights: Mapping[str, int], terms: Terms) -> None:
+    def __init__(self, node: str, life: int, weights: Mapping[str, int], terms: LeaseTerms) -> None:
         super().__init__(terms, weights)
-        self.box, self.life = box, life
+        self.node, self.life = node, life
         self._weights = dict(weights)
         self.denied: dict[str, Deny] = {}
-        self.vouched: frozenset[str] = frozenset()  # voters that an operator says are off
+        self.declared_off: frozenset[str] = frozenset()  # voters that an operator declared switched off
 
     def request(self, now_ms: float) -> Request:
-        """Ask every voter, one's own among them, for (more) time."""
-        return Request(Stamp(self.box, self.life, self.ask(now_ms)))
+        """A request to every voter, this node's own included, to acquire or extend the lease."""
+        return Request(RequestId(self.node, self.life, self.next_request_number(now_ms)))
 
     def release(self) -> Release:
-        """Stop to take, at once and for all that was asked for so far."""
+        """Give up the lease at once, including grants of pending requests."""
         self.denied.clear()
-        return Release(Stamp(self.box, self.life, self.give_up()))
+        return Release(RequestId(self.node, self.life, self.abandon()))
 
-    def answered(self, answer: Answer) -> None:
-        mine = (answer.stamp.box, answer.stamp.life) == (self.box, self.life)
-        if not mine or answer.stamp.number not in self._sent or answer.voter not in self._weights:
+    def handle_answer(self, answer: Answer) -> None:
+        own = (answer.stamp.member, answer.stamp.incarnation) == (self.node, self.life)
+        if not own or answer.stamp.number not in self._sent or answer.voter not in self._weights:
             return
         if isinstance(answer, Stale):
             self.life = max(self.life, answer.life + 1)
@@ -127,25 +133,27 @@
             self.denied[answer.voter] = answer
             return
         self.denied.pop(answer.voter, None)
-        self.promised(answer.voter, answer.stamp.number)
+        self.record_grant(answer.voter, answer.stamp.number)
 
-    def vouch(self, voter: str) -> None:
-        """An operator's word that `voter` is switched off and will stay so until it is heard again."""
-        self.vouched |= {voter}
+    def declare_off(self, voter: str) -> None:
+        """Record an operator's statement that `voter` is off; it holds until a message from it arrives."""
+        self.declared_off |= {voter}
 
-    def heard(self, voter: str) -> None:
-        """`voter` lives after all: no operator's word stands against that."""
-        self.vouched -= {voter}
+    def voter_responded(self, voter: str) -> None:
+        """Withdraw the statement that `voter` is switched off: a message from it has arrived."""
+        self.declared_off -= {voter}
 
     def until_ms(self) -> float:
-        """Up to when, on this box's clock, it holds more than half of the votes; minus infinity if not."""
-        free = sum(self._weights[voter] for voter in self.vouched if voter in self._weights)
-        until = {voter: until_ms for voter, until_ms in self._until.items() if voter not in self.vouched}
+        """When the majority of votes expires, on this node's clock; minus infinity without a majority."""
+        free = sum(self._weights[voter] for voter in self.declared_off if voter in self._weights)
+        until = {voter: until_ms for voter, until_ms in self._until.items() if voter not in self.declared_off}
         if free * 2 > sum(self._weights.values()):
-            until = {self.box: until[self.box]} if self.box in until else {}
-        return more_than_half(self._weights, until, free)
+            until = {self.node: until[self.node]} if self.node in until else {}
+        return quorum_until_ms(self._weights, until, free)
+
+    def may_accept(self, now_ms: float) -> bool:
+        """Whether work may be accepted; to be checked at each acceptance, on the monotonic clock.
 
-    def may_take(self, now_ms: float) -> bool:
-        """To be asked at the moment of taking, on the monotonic clock. Danger: a timer that says so would
-        be late after a pause, and the box would take under a lease that is over."""
+        A flag that a timer resets would be reset late after a process pause, when the lease has expired.
+        """
         return now_ms < self.until_ms()
--- a/cloverrouter/vrrp/machine.py
+++ b/cloverrouter/vrrp/machine.py
@@ -1,7 +1,7 @@
-"""VRRP's state machine for one virtual router: RFC 9568, section 6.4. Rules only, simulated time welcome.
+"""VRRP's state machine for one virtual router, RFC 9568 section 6.4. Pure logic, without clock or socket.
 
-Times are milliseconds of a monotonic clock; advertisement intervals are the RFC's centiseconds, since the
-packet carries them so. The machine says what to send and when it wants to be called again (`due_ms`).
+Times are milliseconds of a monotonic clock that the caller passes in; advertisement intervals are in
+centiseconds, as in the packet. Each method returns the actions to perform; `due_ms` is when to call `tick`.
 """
 
 from __future__ import annotations
@@ -11,8 +11,8 @@
 from ipaddress import IPv4Address, IPv6Address
 
 Address = IPv4Address | IPv6Address
-OWNER = 255  # of the virtual addresses
-LEAVING = 0  # said by an active router that stops
+OWNER_PRIORITY = 255  # of the router that owns the virtual addresses
+STOP_PRIORITY = 0  # advertised by an active router that stops
 
 
 class State(Enum):
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
+class ReceivedAdvertisement:
     """An advertisement that passed all checks of section 7.1."""
 
     priority: int
@@ -32,35 +32,35 @@
 
 @dataclass(frozen=True, slots=True)
 class Advertise:
-    """Send an advertisement with this priority, now."""
+    """Send an advertisement with this priority now."""
 
     priority: int
 
 
 @dataclass(frozen=True, slots=True)
-class Became:
-    """A transition, and why."""
+class Transition:
+    """A change of state, and its reason."""
 
     before: State
     after: State
-    why: str
+    reason: str
 
 
-Action = Advertise | Became
+Action = Advertise | Transition
 
 
-class Machine:
-    """`interval_cs` is Advertisement_Interval, `address` this router's primary one."""
+class StateMachine:
+    """`interval_cs` is Advertisement_Interval, `address` this router's primary address."""
 
     def __init__(self, priority: int, interval_cs: int, address: Address, preempt: bool = True) -> None:
-        if not 1 <= priority <= OWNER:
+        if not 1 <= priority <= OWNER_PRIORITY:
             raise ValueError("priority must be from 1 to 255")
         if not 1 <= interval_cs <= 4095:
             raise ValueError("interval must be from 1 to 4095 centiseconds")
         self.priority, self.interval_cs, self.address, self.preempt = priority, interval_cs, address, preempt
         self.state = State.INITIALIZE
         self.active_interval_cs = interval_cs  # Active_Adver_Interval, learned from the active router
-        self.due_ms: float | None = None  # of Adver_Timer or Active_Down_Timer, whichever runs
+        self.due_ms: float | None = None  # expiry of Adver_Timer or Active_Down_Timer, whichever runs
 
     # Section 6.1
 
@@ -70,7 +70,7 @@
         return (256 - self.priority) * self.active_interval_cs * 10 / 256
 
     @property
-    def down_ms(self) -> float:
+    def active_down_ms(self) -> float:
         """Active_Down_Interval."""
         return 3 * self.active_interval_cs * 10 + self.skew_ms
 
@@ -79,61 +79,66 @@
     def start(self, now_ms: float) -> list[Action]:
         if self.state is not State.INITIALIZE:
             return []
-        if self.priority == OWNER:
+        if self.priority == OWNER_PRIORITY:
             return self._activate(now_ms, "it owns the addresses")
         self.active_interval_cs = self.interval_cs
-        self.due_ms = now_ms + self.down_ms
-        return self._become(State.BACKUP, "started")
+        self.due_ms = now_ms + self.active_down_ms
+        return self._transition_to(State.BACKUP, "started")
 
     def stop(self, now_ms: float) -> list[Action]:
         before, self.due_ms = self.state, None
         if before is State.INITIALIZE:
             return []
-        leaving: list[Action] = [Advertise(LEAVING)] if before is State.ACTIVE else []
-        return leaving + self._become(State.INITIALIZE, "stopped")
+        advertisements: list[Action] = [Advertise(STOP_PRIORITY)] if before is State.ACTIVE else []
+        return advertisements + self._transition_to(State.INITIALIZE, "stopped")
 
     def tick(self, now_ms: float) -> list[Action]:
-        """Time has come to `now_ms`. Fires the timer that is due; one that is overdue fires once."""
+        """Fire the running timer if it has expired by `now_ms`; an overdue timer fires only once."""
         if self.due_ms is None or now_ms < self.due_ms:
             return []
         if self.state is State.BACKUP:
-            return self._activate(now_ms, f"heard no active router for {self.down_ms:.0f} ms")
+            return self._activate(now_ms, f"heard no active router for {self.active_down_ms:.0f} ms")
         self.due_ms = now_ms + self.interval_cs * 10
         return [Advertise(self.priority)]
 
-    def heard(self, now_ms: float, told: Heard) -> list[Action]:
+    def handle_advertisement(self, now_ms: float, received: ReceivedAdvertisement) -> list[Action]:
         if self.state is State.BACKUP:
-            return self._heard_as_backup(now_ms, told)
+            return self._handle_as_backup(now_ms, received)
         if self.state is State.ACTIVE:
-            return self._heard_as_active(now_ms, told)
+            return self._handle_as_active(now_ms, received)
         return []
 
-    def _heard_as_backup(self, now_ms: float, told: Heard) -> list[Action]:
-        if told.priority == LEAVING:
+    def _handle_as_backup(self, now_ms: float, received: ReceivedAdvertisement) -> list[Action]:
+        if received.priority == STOP_PRIORITY:
             self.due_ms = now_ms + self.skew_ms
-        elif not self.preempt or told.priority >= self.priority:
-            self.active_interval_cs = told.interval_cs
-            self.due_ms = now_ms + self.down_ms
-        return []  # one of lower priority is not listened to: this router takes over in its time
+        elif not self.preempt or received.priority >= self.priority:
+            self.active_interval_cs = received.interval_cs
+            self.due_ms = now_ms + self.active_down_ms
+        return []  # a lower priority is ignored: this router preempts when Active_Down_Timer fires
 
-    def _heard_as_active(self, now_ms: float, told: Heard) -> list[Action]:
-        if told.priority == LEAVING:
+    def _handle_as_active(self, now_ms: float, received: ReceivedAdvertisement) -> list[Action]:
+        if received.priority == STOP_PRIORITY:
             self.due_ms = now_ms + self.interval_cs * 10
             return [Advertise(self.priority)]
-        wins = told.priority > self.priority or (
-            told.priority == self.priority and int(told.source) > int(self.address)
+        sender_wins = received.priority > self.priority or (
+            received.priority == self.priority and int(received.source) > int(self.address)
         )
-        if not wins:
-            # Asserted at once: the other one yields on hearing it.
+        if not sender_wins:
+            # Advertises at once, so that the other router becomes backup without waiting for Adver_Timer.
             self.due_ms = now_ms + self.interval_cs * 10
             return [Advertise(self.priority)]
-        self.active_interval_cs = told.interval_cs
-        self.due_ms = now_ms + self.down_ms
-        return self._become(State.BACKUP, f"{told.source} is active with priority {told.priority}")
+        self.active_interval_cs = received.interval_cs
+        self.due_ms = now_ms + self.active_down_ms
+        return self._transition_to(
+            State.BACKUP, f"{received.source} is active with priority {received.priority}"
+        )
 
     def set_priority(self, now_ms: float, priority: int) -> list[Action]:
-        """A new priority of its own (tracking). It acts by what is heard next, not by itself."""
-        if not 1 <= priority <= OWNER:
+        """Change this router's priority (health tracking).
+
+        The state does not change by itself, only by the advertisements that are received afterwards.
+        """
+        if not 1 <= priority <= OWNER_PRIORITY:
             raise ValueError("priority must be from 1 to 255")
         before, self.priority = self.priority, priority
         if self.state is State.ACTIVE and before != priority:
@@ -141,10 +146,10 @@
             return [Advertise(priority)]
         return []
 
-    def _activate(self, now_ms: float, why: str) -> list[Action]:
+    def _activate(self, now_ms: float, reason: str) -> list[Action]:
         self.due_ms = now_ms + self.interval_cs * 10
-        return [Advertise(self.priority), *self._become(State.ACTIVE, why)]
+        return [Advertise(self.priority), *self._transition_to(State.ACTIVE, reason)]
 
-    def _become(self, state: State, why: str) -> list[Action]:
+    def _transition_to(self, state: State, reason: str) -> list[Action]:
         before, self.state = self.state, state
-        return [Became(before, state, why)]
+        return [Transition(before, state, reason)]
--- a/cloverrouter/vrrp/packet.py
+++ b/cloverrouter/vrrp/packet.py
@@ -1,7 +1,7 @@
-"""VRRPv3 advertisements, RFC 9568 section 5: bytes to typed values and back, and the checks of section 7.1.
+"""VRRPv3 advertisements, RFC 9568 section 5: encoding, decoding, and the checks of section 7.1.
 
-Carried in UDP between configured peers, so there is no IP header of VRRP's own: what section 7.1 checks
-there (hop limit 255) can't be checked here, and the checksum's pseudo-header (IPv6 only, section 5.2.8) is
+Advertisements are carried in UDP between configured peers, so there is no IP header of VRRP's own: its hop
+limit of 255 (section 7.1) can't be checked, and the checksum's pseudo-header (IPv6 only, section 5.2.8) is
 made of the addresses of the UDP datagram.
 """
 
@@ -15,13 +15,13 @@
 
 VERSION, ADVERTISEMENT = 3, 1
 NEXT_HEADER = 112  # VRRP's protocol number, in the pseudo-header
-HEAD = struct.Struct("!BBBBHH")
-MOST_ADDRESSES = 255
+FIXED_FIELDS = struct.Struct("!BBBBHH")
+MAX_ADDRESSES = 255
 Address = IPv4Address | IPv6Address
 
 
-class Fault(Enum):
-    """Why a datagram is no advertisement for us: one for each check, to be counted by."""
+class PacketFault(Enum):
+    """Which check a received packet fails; also the key of its counter."""
 
     SHORT = "shorter than the fixed fields"
     VERSION = "not VRRP version 3"
@@ -35,7 +35,7 @@
 
 
 class BadPacket(Exception):
-    def __init__(self, fault: Fault) -> None:
+    def __init__(self, fault: PacketFault) -> None:
         super().__init__(fault.value)
         self.fault = fault
 
@@ -52,7 +52,7 @@
     def __post_init__(self) -> None:
         if not 1 <= self.vrid <= 255 or not 0 <= self.priority <= 255 or not 0 <= self.interval_cs <= 4095:
             raise ValueError("vrid 1 to 255, priority 0 to 255, interval 0 to 4095 centiseconds")
-        if len(self.addresses) > MOST_ADDRESSES or len({a.version for a in self.addresses}) > 1:
+        if len(self.addresses) > MAX_ADDRESSES or len({a.version for a in self.addresses}) > 1:
             raise ValueError("at most 255 addresses, all of one family")
 
 
@@ -67,55 +67,69 @@
 
 
 def _pseudo_header(source: Address, target: Address, length: int) -> bytes:
-    """Only IPv6 has one (RFC 8200 section 8.1); for IPv4 the sum is over the message alone."""
+    """The pseudo-header of IPv6 (RFC 8200 section 8.1); empty for IPv4, which sums the packet alone."""
     if source.version == 4:
         return b""
     return source.packed + target.packed + struct.pack("!I3xB", length, NEXT_HEADER)
 
 
-def encode(told: Advertisement, source: Address, target: Address) -> bytes:
-    """`source` and `target`: the datagram's addresses."""
-    body = b"".join(address.packed for address in told.addresses)
+def encode(advertisement: Advertisement, source: Address, target: Address) -> bytes:
+    """`source` and `target`: the addresses of the UDP datagram."""
+    addresses = b"".join(address.packed for address in advertisement.addresses)
 
-    def head(check: int) -> bytes:
-        first = VERSION << 4 | ADVERTISEMENT
-        return HEAD.pack(first, told.vrid, told.priority, len(told.addresses), told.interval_cs, check)
+    def fixed_fields(checksum_field: int) -> bytes:
+        version_and_type = VERSION << 4 | ADVERTISEMENT
+        return FIXED_FIELDS.pack(
+            version_and_type,
+            advertisement.vrid,
+            advertisement.priority,
+            len(advertisement.addresses),
+            advertisement.interval_cs,
+            checksum_field,
+        )
 
-    whole = head(0) + body
-    return head(checksum(_pseudo_header(source, target, len(whole)) + whole)) + body
+    packet = fixed_fields(0) + addresses
+    return fixed_fields(checksum(_pseudo_header(source, target, len(packet)) + packet)) + addresses
 
 
 def decode(data: bytes, source: Address, target: Address) -> Advertisement:
-    """Total: an advertisement, or `BadPacket` with the first check of section 7.1 that fails."""
-    if len(data) < HEAD.size:
-        raise BadPacket(Fault.SHORT)
-    first, vrid, priority, count, interval, _check = HEAD.unpack_from(data)
-    if first >> 4 != VERSION:
-        raise BadPacket(Fault.VERSION)
-    if first & 0xF != ADVERTISEMENT:
-        raise BadPacket(Fault.TYPE)
+    """Decode any input to an advertisement, or raise `BadPacket` with the first failed check."""
+    if len(data) < FIXED_FIELDS.size:
+        raise BadPacket(PacketFault.SHORT)
+    version_and_type, vrid, priority, count, interval, _checksum = FIXED_FIELDS.unpack_from(data)
+    if version_and_type >> 4 != VERSION:
+        raise BadPacket(PacketFault.VERSION)
+    if version_and_type & 0xF != ADVERTISEMENT:
+        raise BadPacket(PacketFault.TYPE)
     size = 4 if source.version == 4 else 16
-    if len(data) != HEAD.size + count * size:
-        raise BadPacket(Fault.INCOMPLETE)
+    if len(data) != FIXED_FIELDS.size + count * size:
+        raise BadPacket(PacketFault.INCOMPLETE)
     if checksum(_pseudo_header(source, target, len(data)) + data) != 0:
-        raise BadPacket(Fault.CHECKSUM)
+        raise BadPacket(PacketFault.CHECKSUM)
     if vrid == 0:
-        raise BadPacket(Fault.VRID)
-    addresses = tuple(ip_address(data[place : place + size]) for place in range(HEAD.size, len(data), size))
+        raise BadPacket(PacketFault.VRID)
+    addresses = tuple(
+        ip_address(data[offset : offset + size]) for offset in range(FIXED_FIELDS.size, len(data), size)
+    )
     # The four reserved bits are ignored on receipt (section 5.2.6).
     return Advertisement(vrid, priority, interval & 0x0FFF, addresses)
 
 
-def check(told: Advertisement, vrid: int, own_priority: int, addresses: Sequence[Address]) -> Fault | None:
-    """The rest of section 7.1: is it for this virtual router? `ADDRESSES` is a fault of configuration that
-    the RFC lets a receiver look for; the caller says so and goes on by the other checks."""
-    if told.vrid != vrid:
-        return Fault.VRID
+def find_fault(
+    advertisement: Advertisement, vrid: int, own_priority: int, addresses: Sequence[Address]
+) -> PacketFault | None:
+    """The remaining checks of section 7.1: the first that fails for this virtual router, or None.
+
+    `ADDRESSES` is a misconfiguration that the RFC lets a receiver check for; the caller reports it and still
+    processes the advertisement.
+    """
+    if advertisement.vrid != vrid:
+        return PacketFault.VRID
     if own_priority == 255:
-        return Fault.OWNER
-    if told.interval_cs == 0 and told.priority != 0:
-        # Danger: an interval of nothing would make every timer due at once, for ever.
-        return Fault.INTERVAL
-    if set(told.addresses) != set(addresses):
-        return Fault.ADDRESSES
+        return PacketFault.OWNER
+    if advertisement.interval_cs == 0 and advertisement.priority != 0:
+        # With an interval of zero every timer would be due again at once, without end.
+        return PacketFault.INTERVAL
+    if set(advertisement.addresses) != set(addresses):
+        return PacketFault.ADDRESSES
     return None
--- a/cloverrouter/vrrp/shell.py
+++ b/cloverrouter/vrrp/shell.py
@@ -1,7 +1,7 @@
-"""UDP, timers and the clock round a `Pair` or a witness's `Voter`. Carries out, decides nothing.
+"""The I/O around a `PairMember` or a witness's `Voter`: UDP, timers and the clock. Makes no decisions.
 
-The clock is CLOCK_BOOTTIME: monotonic, and it counts the time for which the machine was suspended, which a
-lease must not outlast.
+The clock is CLOCK_BOOTTIME: monotonic, and it includes the time for which the machine was suspended, since a
+lease must expire during that time, too.
 """
 
 from __future__ import annotations
@@ -13,21 +13,23 @@
 from ipaddress import ip_address
 
 from cloverrouter.clock import now_s
-from cloverrouter.datagrams import BadDatagram, Datagram, Reason
-from cloverrouter.post import Post, SocketAddress
-from cloverrouter.rights import Terms
+from cloverrouter.datagrams import BadDatagram, Datagram, RejectReason
+from cloverrouter.post import MemberSocket, SocketAddress
+from cloverrouter.rights import LeaseTerms
 from cloverrouter.vrrp import packet
 from cloverrouter.vrrp.lease import Release, Request, Voter
-from cloverrouter.vrrp.machine import Advertise, Became, Heard
-from cloverrouter.vrrp.pair import Out, Pair, Shape
-from cloverrouter.vrrp.tracking import Fault, Tracking
-from cloverrouter.vrrp.wire import Courier, Kind, decode_lease, encode_lease
+from cloverrouter.vrrp.machine import Advertise, ReceivedAdvertisement, Transition
+from cloverrouter.vrrp.pair import PairAction, PairConfig, PairMember
+from cloverrouter.vrrp.tracking import Fault, PriorityTracker
+from cloverrouter.vrrp.wire import Kind, PairCodec, decode_lease, encode_lease
 
 RETRY_AFTER_MS = 1000.0
-STRANGE_MS = 60_000.0  # without another, then the alarm ends
-STRANGERS = {
-    Reason.CODE: "the pair is set up wrongly: datagrams come with another secret; give all members the same",
-    Reason.SENDER: "datagrams come from no member of the pair: a third box, or a wrong peer_address",
+REJECT_ALARM_HOLD_MS = 60_000.0  # the alarm ends after this time without another rejected datagram
+REJECT_ALARMS = {
+    RejectReason.CODE: (
+        "the pair is set up wrongly: datagrams come with another secret; give all members the same"
+    ),
+    RejectReason.SENDER: "datagrams come from no member of the pair: a third box, or a wrong peer_address",
 }
 log = logging.getLogger(__name__)
 
@@ -37,236 +39,262 @@
 
 
 class Witness:
-    """The third voter: promises its vote, and nothing else."""
+    """The third voter of a pair: it grants its vote, and never accepts work itself."""
 
     def __init__(
-        self, name: str, life: int, boxes: Mapping[str, SocketAddress], terms: Terms, secret: bytes | None
+        self,
+        name: str,
+        life: int,
+        nodes: Mapping[str, SocketAddress],
+        terms: LeaseTerms,
+        secret: bytes | None,
     ) -> None:
         self.voter = Voter(name, terms, now_ms())
-        self._post = Post(Courier(name, life, frozenset(boxes), secret), boxes, self._received)
+        self._socket = MemberSocket(PairCodec(name, life, frozenset(nodes), secret), nodes, self._on_datagram)
 
     async def open(self, listen: SocketAddress) -> None:
-        await self._post.open(listen)
+        await self._socket.open(listen)
 
     def close(self) -> None:
-        self._post.close()
+        self._socket.close()
 
-    def _received(self, told: Datagram) -> None:
-        if told.kind not in (Kind.REQUEST, Kind.RELEASE):
+    def _on_datagram(self, datagram: Datagram) -> None:
+        if datagram.kind not in (Kind.REQUEST, Kind.RELEASE):
             return
         try:
-            message = decode_lease(told.kind, told.payload)
+            message = decode_lease(datagram.kind, datagram.payload)
         except BadDatagram:
             return
-        # Danger: a box that speaks for another could free the other's promise.
-        if isinstance(message, Request | Release) and message.stamp.box == told.sender:
+        # A node that sends in the name of the other could otherwise free the vote granted to the other.
+        if isinstance(message, Request | Release) and message.stamp.member == datagram.sender:
             answer = self.voter.handle(now_ms(), message)
             if answer is not None:
-                self._post.send(told.sender, *encode_lease(answer))
+                self._socket.send(datagram.sender, *encode_lease(answer))
 
 
-class Box:
-    """One box of a pair. Fills the admission seam. `changed` is called when taking begins or ends, `event`
-    of each transition with its reason, `alarm` of a pair that is set up wrongly."""
+class VrrpNode:
+    """One node of a pair; implements `proxy.admission.Admission`.
+
+    `on_accepting_change` is called when accepting work begins or ends, `event` with each transition and its
+    reason, and `alarm` when the pair is misconfigured.
+    """
 
     def __init__(
         self,
-        shape: Shape,
+        config: PairConfig,
         life: int,
         addresses: Mapping[str, SocketAddress],
         vrid: int,
-        virtual: tuple[packet.Address, ...],
+        virtual_addresses: tuple[packet.Address, ...],
         secret: bytes | None,
-        changed: Callable[[bool], None],
+        on_accepting_change: Callable[[bool], None],
         event: Callable[[str], None],
         alarm: Callable[[str, str | None], None],
     ) -> None:
         self._loop = asyncio.get_running_loop()
-        self._shape, self._vrid, self._virtual = shape, vrid, virtual
-        self._changed, self._event, self._alarm = changed, event, alarm
-        self.pair = Pair(shape, life, now_ms())
-        self.faults: Counter[packet.Fault] = Counter()
+        self._config, self._vrid, self._virtual_addresses = config, vrid, virtual_addresses
+        self._on_accepting_change, self._event, self._alarm = on_accepting_change, event, alarm
+        self.pair = PairMember(config, life, now_ms())
+        self.packet_faults: Counter[packet.PacketFault] = Counter()
         self.transitions: Counter[str] = Counter()
-        self.tracking = Tracking(shape.priority)
-        self._strange: dict[Reason, tuple[int, float]] = {}  # how many, and when it last rose
-        self._peer_address = ip_address(addresses[shape.peer][0])
-        self.post = Post(Courier(shape.name, life, frozenset(addresses), secret), addresses, self._received)
+        self.priority_tracker = PriorityTracker(config.priority)
+        self._rejections_seen: dict[RejectReason, tuple[int, float]] = {}  # count, and time of the last
+        self._peer_address = ip_address(addresses[config.peer][0])
+        self.socket = MemberSocket(
+            PairCodec(config.name, life, frozenset(addresses), secret), addresses, self._on_datagram
+        )
         self._timer: asyncio.TimerHandle | None = None
-        self._taking_ms: float | None = None  # since when work is taken
-        self._until_ms = 0.0  # and up to when it may be, as far as is known
+        self._accepting_since_ms: float | None = None  # None: no work is accepted
+        self._lease_until_ms = 0.0  # as of the last check; work may be accepted until then
         self._stopped = False
 
     async def open(self, listen: SocketAddress) -> None:
-        """Raises OSError."""
-        await self.post.open(listen)
-        self._carry_out(self.pair.start(now_ms()))
+        """Bind the socket and start the state machine. Raises OSError."""
+        await self.socket.open(listen)
+        self._execute(self.pair.start(now_ms()))
 
     # proxy.admission.Admission
 
     def refusal(self) -> str:
         at_ms = now_ms()
-        return "" if self.pair.may_take(at_ms) else self.pair.why_not(at_ms)
+        return "" if self.pair.may_accept(at_ms) else self.pair.refusal_reason(at_ms)
 
     def retry_after_ms(self) -> float:
         return RETRY_AFTER_MS
 
-    # Datagrams, timers
+    # Datagrams and timers
 
-    def _received(self, told: Datagram) -> None:
+    def _on_datagram(self, datagram: Datagram) -> None:
         if self._stopped:
             return
         try:
-            if told.kind is Kind.ADVERTISEMENT:
-                self._advertised(told.payload)
+            if datagram.kind is Kind.ADVERTISEMENT:
+                self._on_advertisement(datagram.payload)
                 return
-            message = decode_lease(told.kind, told.payload)
+            message = decode_lease(datagram.kind, datagram.payload)
         except BadDatagram:
-            self.post.courier.refused[Reason.FORM] += 1
+            self.socket.codec.rejected[RejectReason.FORM] += 1
             return
-        # Danger: one that speaks for another could free, or forge, that one's promise.
-        spoken_for = message.stamp.box if isinstance(message, Request | Release) else message.voter
-        if spoken_for == told.sender:
-            self._carry_out(self.pair.heard(now_ms(), told.sender, message))
+        # A member that sends in the name of another could otherwise free or forge the other's vote.
+        author = message.stamp.member if isinstance(message, Request | Release) else message.voter
+        if author == datagram.sender:
+            self._execute(self.pair.handle_message(now_ms(), datagram.sender, message))
 
-    def _advertised(self, payload: bytes) -> None:
-        own = self.pair.machine
+    def _on_advertisement(self, payload: bytes) -> None:
+        machine = self.pair.machine
         try:
-            told = packet.decode(payload, self._peer_address, self._shape.address)
-        except packet.BadPacket as wrong:
-            self.faults[wrong.fault] += 1
+            advertisement = packet.decode(payload, self._peer_address, self._config.address)
+        except packet.BadPacket as error:
+            self.packet_faults[error.fault] += 1
             return
-        fault = packet.check(told, self._vrid, own.priority, self._virtual)
+        fault = packet.find_fault(advertisement, self._vrid, machine.priority, self._virtual_addresses)
         if fault is not None:
-            self.faults[fault] += 1
+            self.packet_faults[fault] += 1
         self._alarm(
             "vrrp", None if fault is None else f"the pair is set up wrongly: the peer has {fault.value}"
         )
-        if fault is not None and fault is not packet.Fault.ADDRESSES:
+        if fault is not None and fault is not packet.PacketFault.ADDRESSES:
             return
-        if told.priority == own.priority:
-            text = f"both boxes have priority {own.priority}; give the one that is to be active the higher"
+        if advertisement.priority == machine.priority:
+            text = (
+                f"both boxes have priority {machine.priority}; give the one that is to be active the higher"
+            )
             self._alarm("vrrp", f"the pair is set up wrongly: {text}")
-        if told.interval_cs != own.interval_cs and told.priority:
-            text = f"the peer advertises every {told.interval_cs} cs, this box every {own.interval_cs}"
+        if advertisement.interval_cs != machine.interval_cs and advertisement.priority:
+            text = (
+                f"the peer advertises every {advertisement.interval_cs} cs, "
+                f"this box every {machine.interval_cs}"
+            )
             self._alarm("vrrp", f"the pair is set up wrongly: {text}")
-        heard = Heard(told.priority, told.interval_cs, self._peer_address)
-        self._carry_out(self.pair.heard(now_ms(), self._shape.peer, heard))
+        received = ReceivedAdvertisement(
+            advertisement.priority, advertisement.interval_cs, self._peer_address
+        )
+        self._execute(self.pair.handle_message(now_ms(), self._config.peer, received))
 
-    def _carry_out(self, out: list[Out]) -> None:
+    def _execute(self, actions: list[PairAction]) -> None:
         try:
-            self._carry_out_each(out)
+            self._execute_each(actions)
         finally:
-            self._schedule()  # with no timer the box would neither renew nor give up its lease
-
-    def _carry_out_each(self, out: list[Out]) -> None:
-        # Danger: once a release is on its way, the other box may take. Looked at after the sending, a pause
-        # in between would have the log say that both took at once.
-        self._look()
-        for action in out:
-            if isinstance(action, Became):
+            self._schedule()  # without a timer the lease would neither be renewed nor given up
+
+    def _execute_each(self, actions: list[PairAction]) -> None:
+        # Before sending: the peer may accept work as soon as a release is sent. If the end were logged
+        # afterwards, a process pause in between would make the logs show both nodes accepting at once.
+        self._update_accepting()
+        for action in actions:
+            if isinstance(action, Transition):
                 self.transitions[f"{action.before.value} to {action.after.value}"] += 1
-                text = f"{action.before.value} -> {action.after.value}: {action.why}"
+                text = f"{action.before.value} -> {action.after.value}: {action.reason}"
                 log.warning("vrrp: %s", text)
                 self._event(text)
             elif isinstance(action.message, Advertise):
-                told = packet.Advertisement(
-                    self._vrid, action.message.priority, self.pair.machine.interval_cs, self._virtual
+                advertisement = packet.Advertisement(
+                    self._vrid,
+                    action.message.priority,
+                    self.pair.machine.interval_cs,
+                    self._virtual_addresses,
                 )
-                data = packet.encode(told, self._shape.address, self._peer_address)
-                self.post.send(action.target, Kind.ADVERTISEMENT, data)
+                data = packet.encode(advertisement, self._config.address, self._peer_address)
+                self.socket.send(action.target, Kind.ADVERTISEMENT, data)
             else:
-                self.post.send(action.target, *encode_lease(action.message))
+                self.socket.send(action.target, *encode_lease(action.message))
 
-    def _look(self) -> None:
-        """Has taking begun or ended?"""
+    def _update_accepting(self) -> None:
+        """Detect, log and report that accepting work has begun or ended."""
         at_ms = now_ms()
-        if self.pair.may_take(at_ms):
-            if self._taking_ms is None:
-                self._taking_ms = at_ms
+        if self.pair.may_accept(at_ms):
+            if self._accepting_since_ms is None:
+                self._accepting_since_ms = at_ms
                 log.warning("vrrp: takes work from %.3f on", at_ms)
-                self._changed(True)
-            self._until_ms = self.pair.lease.until_ms()
-        elif self._taking_ms is not None:
-            # Released, it ended just now; by time, it ended when the lease did, however late we look.
-            begun, self._taking_ms = self._taking_ms, None
-            log.warning("vrrp: took work from %.3f to %.3f", begun, min(at_ms, self._until_ms))
-            self._changed(False)
+                self._on_accepting_change(True)
+            self._lease_until_ms = self.pair.lease.until_ms()
+        elif self._accepting_since_ms is not None:
+            # A released lease ended now; an expired one ended at its expiry, even if this check is late.
+            since_ms, self._accepting_since_ms = self._accepting_since_ms, None
+            log.warning("vrrp: took work from %.3f to %.3f", since_ms, min(at_ms, self._lease_until_ms))
+            self._on_accepting_change(False)
 
     def _schedule(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
         due_ms = self.pair.due_ms()
-        if self._taking_ms is not None:
-            due_ms = self._until_ms if due_ms is None else min(due_ms, self._until_ms)
+        if self._accepting_since_ms is not None:
+            due_ms = self._lease_until_ms if due_ms is None else min(due_ms, self._lease_until_ms)
         if due_ms is not None:
             self._timer = self._loop.call_later(max(0.0, due_ms - now_ms()) / 1000 + 0.0005, self._tick)
 
     def _tick(self) -> None:
-        self._carry_out(self.pair.tick(now_ms()))
+        self._execute(self.pair.tick(now_ms()))
 
     def track(self, faults: frozenset[Fault]) -> None:
-        """What is wrong with this box at this moment; called about once a second."""
-        self._look_for_strangers()
-        before, after = self.pair.machine.priority, self.tracking.look(now_ms(), faults)
+        """Adjust the priority to the current health faults; called about once a second."""
+        self._update_reject_alarms()
+        before, after = self.pair.machine.priority, self.priority_tracker.update(now_ms(), faults)
         if after != before:
-            why = ", ".join(fault.value for fault in self.tracking.counting) or "all is well again"
-            log.warning("vrrp: priority %d -> %d: %s", before, after, why)
-            self._event(f"priority {before} -> {after}: {why}")
-            self._carry_out(self.pair.set_priority(now_ms(), after))
-
-    def _look_for_strangers(self) -> None:
-        """Datagrams that are turned away for what an operator can mend are said in clear words."""
-        at_ms, refused = now_ms(), self.post.courier.refused
-        for reason, text in STRANGERS.items():
-            if refused[reason] > self._strange.get(reason, (0, 0.0))[0]:
-                self._strange[reason] = (refused[reason], at_ms)
+            reason = (
+                ", ".join(fault.value for fault in self.priority_tracker.counted_faults)
+                or "all is well again"
+            )
+            log.warning("vrrp: priority %d -> %d: %s", before, after, reason)
+            self._event(f"priority {before} -> {after}: {reason}")
+            self._execute(self.pair.set_priority(now_ms(), after))
+
+    def _update_reject_alarms(self) -> None:
+        """Raise or clear the alarms for rejected datagrams whose cause an operator can fix."""
+        at_ms, rejected = now_ms(), self.socket.codec.rejected
+        for reason, text in REJECT_ALARMS.items():
+            if rejected[reason] > self._rejections_seen.get(reason, (0, 0.0))[0]:
+                self._rejections_seen[reason] = (rejected[reason], at_ms)
                 self._alarm(f"vrrp {reason.name}", text)
-            elif reason in self._strange and at_ms - self._strange[reason][1] > STRANGE_MS:
+            elif (
+                reason in self._rejections_seen
+                and at_ms - self._rejections_seen[reason][1] > REJECT_ALARM_HOLD_MS
+            ):
                 self._alarm(f"vrrp {reason.name}", None)
 
-    def vouch(self) -> None:
-        self._carry_out(self.pair.vouch(now_ms()))
+    def declare_peer_off(self) -> None:
+        self._execute(self.pair.declare_peer_off(now_ms()))
 
     def hand_over(self) -> None:
-        """Stop in an orderly way: priority 0 now, and the votes given back when the other asks for them."""
-        self._carry_out(self.pair.hand_over(now_ms()))
+        """Start a planned handover: advertise priority 0, release the lease when the peer requests it."""
+        self._execute(self.pair.hand_over(now_ms()))
 
     def resume(self) -> None:
-        self._carry_out(self.pair.start(now_ms()))
+        self._execute(self.pair.start(now_ms()))
 
     def close(self) -> None:
-        self._carry_out(self.pair.stop(now_ms()))
+        self._execute(self.pair.stop(now_ms()))
         self._stopped = True
         if self._timer is not None:
             self._timer.cancel()
-        self.post.close()
+        self.socket.close()
 
     def role(self) -> dict[str, object]:
-        """In a few words: what this box is, and whether it takes work."""
+        """A summary: the state, and whether this node accepts work."""
         at_ms = now_ms()
         return {
             "state": self.pair.machine.state.value,
-            "taking": self.pair.may_take(at_ms),
-            "why_not": self.pair.why_not(at_ms),
+            "taking": self.pair.may_accept(at_ms),
+            "why_not": self.pair.refusal_reason(at_ms),
         }
 
-    def told(self) -> dict[str, object]:
-        """For `status`."""
+    def status(self) -> dict[str, object]:
+        """The result of the `vrrp status` command."""
         at_ms = now_ms()
         pair = self.pair
         left_ms = pair.lease.until_ms() - at_ms
         return {
-            "name": self._shape.name,
+            "name": self._config.name,
             "state": pair.machine.state.value,
-            "taking": pair.may_take(at_ms),
-            "why_not": pair.why_not(at_ms),
+            "taking": pair.may_accept(at_ms),
+            "why_not": pair.refusal_reason(at_ms),
             "priority": pair.machine.priority,
-            "priority_why": [fault.value for fault in self.tracking.counting],
+            "priority_why": [fault.value for fault in self.priority_tracker.counted_faults],
             "lease_left_ms": round(left_ms) if left_ms > 0 else 0,
             "vote_of_ours": pair.voter.holder(at_ms) or "",
-            "heard_ms_ago": {name: round(at_ms - heard) for name, heard in pair.heard_ms.items()},
-            "vouched": sorted(pair.lease.vouched),
+            "heard_ms_ago": {name: round(at_ms - at) for name, at in pair.last_received_ms.items()},
+            "vouched": sorted(pair.lease.declared_off),
             "transitions": dict(self.transitions),
-            "refused": {reason.value: n for reason, n in self.post.courier.refused.items()},
-            "faults": {fault.value: n for fault, n in self.faults.items()},
+            "refused": {reason.value: n for reason, n in self.socket.codec.rejected.items()},
+            "faults": {fault.value: n for fault, n in self.packet_faults.items()},
         }
--- a/cloverrouter/vrrp/tracking.py
+++ b/cloverrouter/vrrp/tracking.py
@@ -1,8 +1,8 @@
-"""A box's priority follows its health, slowly: a server that flaps must not flap the pair.
+"""Health tracking of a node's VRRP priority, with hysteresis: a flapping server must not make the pair flap.
 
-Rules only. A fault counts once it has stood for `FALL_MS` without a break, and is forgotten once it has been
-away for `RISE_MS` without a break. So however fast a fault comes and goes, the priority changes at most once
-in `FALL_MS`, and a fault that is seen again and again counts as standing.
+Pure logic, no I/O. A fault is counted once it has been present for `FALL_MS` without interruption, and is no
+longer counted once it has been absent for `RISE_MS` without interruption. So the priority changes at most
+once in `FALL_MS`, however fast a fault comes and goes, and a fault that keeps recurring stays counted.
 """
 
 from __future__ import annotations
@@ -15,49 +15,52 @@
 
 
 class Fault(Enum):
-    """What lowers the priority, and why an operator should care."""
+    """A health fault that lowers the priority, with its text for operators."""
 
     NO_SERVER = "no server can take work"
     DISCOVERY = "discovery does not answer"
     DESCRIPTORS = "descriptors are short"
 
 
-# No server outweighs all else: any box that has one is better.
-COST = {Fault.NO_SERVER: 100, Fault.DESCRIPTORS: 20, Fault.DISCOVERY: 10}
+# NO_SERVER exceeds the sum of the others: a node that has a server is preferred to one that has none.
+PRIORITY_PENALTY = {Fault.NO_SERVER: 100, Fault.DESCRIPTORS: 20, Fault.DISCOVERY: 10}
 
 
 @dataclass(slots=True)
-class Standing:
-    """One fault over time. `changed_ms`: since when it has been seen, or not seen, without a break."""
+class FaultState:
+    """The state of one fault. `changed_ms`: since when it has been present or absent without interruption."""
 
-    seen: bool = False
+    present: bool = False
     changed_ms: float = 0.0
-    counts: bool = False
+    counted: bool = False
 
 
-class Tracking:
-    """`base` is the configured priority; 255 owns the addresses and is not lowered (RFC 9568, 5.2.4)."""
+class PriorityTracker:
+    """The priority of a node: `base_priority`, as configured, less the penalties of its counted faults.
 
-    def __init__(self, base: int) -> None:
-        self.base = base
-        self._standing = {fault: Standing() for fault in Fault}
+    A base priority of 255 owns the virtual addresses and is not lowered (RFC 9568, section 5.2.4).
+    """
 
-    def look(self, now_ms: float, faults: frozenset[Fault]) -> int:
-        """The priority, with the faults that are seen at `now_ms`."""
-        for fault, standing in self._standing.items():
-            seen = fault in faults
-            if seen != standing.seen:
-                standing.seen, standing.changed_ms = seen, now_ms
-            if now_ms - standing.changed_ms >= (FALL_MS if seen else RISE_MS):
-                standing.counts = seen
+    def __init__(self, base_priority: int) -> None:
+        self.base_priority = base_priority
+        self._fault_states = {fault: FaultState() for fault in Fault}
+
+    def update(self, now_ms: float, faults: frozenset[Fault]) -> int:
+        """Record the faults that are present at `now_ms`, and return the priority."""
+        for fault, state in self._fault_states.items():
+            present = fault in faults
+            if present != state.present:
+                state.present, state.changed_ms = present, now_ms
+            if now_ms - state.changed_ms >= (FALL_MS if present else RISE_MS):
+                state.counted = present
         return self.priority
 
     @property
-    def counting(self) -> list[Fault]:
-        return [fault for fault, standing in self._standing.items() if standing.counts]
+    def counted_faults(self) -> list[Fault]:
+        return [fault for fault, state in self._fault_states.items() if state.counted]
 
     @property
     def priority(self) -> int:
-        if self.base == 255:
-            return self.base
-        return max(1, self.base - sum(COST[fault] for fault in self.counting))
+        if self.base_priority == 255:
+            return self.base_priority
+        return max(1, self.base_priority - sum(PRIORITY_PENALTY[fault] for fault in self.counted_faults))
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Passes over the tests that ``KNOWN-RED.txt`` lists, and prints them; see ``known_red.py``."""
+"""Expects the tests listed in ``KNOWN-RED.txt`` to fail, and prints them; see ``known_red.py``."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     known = {entry.test: entry for entry in read()}
     for item in items:
         if (entry := known.get(item.nodeid)) is not None:
-            # Danger: passed over for good, it would stay on the list when it has been mended: strict.
+            # Strict: a listed test that passes fails the run, so that it is removed from the list once fixed.
             reason = f"known red: {entry.cause} ({entry.issue})"
             item.add_marker(pytest.mark.xfail(strict=True, reason=reason))
 
--- a/tests/console/test_keys.py
+++ b/tests/console/test_keys.py
@@ -1,4 +1,4 @@
-"""Keys and the prompt: whatever bytes come, in whatever pieces."""
+"""Key decoding and the line editor, with arbitrary input in arbitrary chunks."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cloverrouter.console.editor import MOST_HISTORY, MOST_TEXT, Editor
-from cloverrouter.console.keys import MOST_SEQUENCE, Keys
+from cloverrouter.console.editor import MAX_HISTORY_LINES, MAX_LINE_CHARACTERS, Editor
+from cloverrouter.console.keys import MAX_SEQUENCE_BYTES, KeyDecoder
 
 
 @pytest.mark.parametrize(
@@ -29,65 +29,65 @@
         ("я".encode(), []),
     ],
 )
-def test_bytes_become_keys_in_whatever_pieces(data: bytes, keys: list[str]) -> None:
-    assert list(Keys().feed(data)) == keys
-    single = Keys()
+def test_keys_are_decoded_independently_of_chunking(data: bytes, keys: list[str]) -> None:
+    assert list(KeyDecoder().feed(data)) == keys
+    single = KeyDecoder()
     assert [key for byte in data for key in single.feed(bytes([byte]))] == keys
 
 
-def test_escape_on_its_own_is_a_key_once_nothing_follows() -> None:
-    keys = Keys()
+def test_lone_escape_byte_is_the_escape_key_after_flush() -> None:
+    keys = KeyDecoder()
     assert list(keys.feed(b"\x1b")) == [] and keys.pending
     assert list(keys.flush()) == ["ESCAPE"] and not keys.pending
     assert list(keys.feed(b"\x1b[")) == [] and list(keys.flush()) == []
 
 
 @given(st.binary(max_size=300))
-def test_any_bytes_give_keys_and_no_sequence_is_kept_without_end(data: bytes) -> None:
-    keys = Keys()
+def test_any_input_decodes_and_the_sequence_buffer_is_bounded(data: bytes) -> None:
+    keys = KeyDecoder()
     for key in keys.feed(data):
         assert key
-    assert len(keys._sequence) < MOST_SEQUENCE
+    assert len(keys._sequence) < MAX_SEQUENCE_BYTES
 
 
-def choices(line: str, word: int) -> Sequence[str]:
+def completions(line: str, word: int) -> Sequence[str]:
     return ("drain", "restore", "refusals") if word == 0 else ("s-1", "s-12", "t", "minutes=")
 
 
-def typed(*keys: str) -> Editor:
-    editor = Editor(choices)
+def editor_after(*keys: str) -> Editor:
+    editor = Editor(completions)
     for key in keys:
         editor.key(key)
     return editor
 
 
 def test_line_is_edited_and_entered() -> None:
-    editor = typed(*"dran", "LEFT", "i", "END", "!", "BACKSPACE", "HOME", "x", "DELETE", "BACKSPACE")
+    editor = editor_after(*"dran", "LEFT", "i", "END", "!", "BACKSPACE", "HOME", "x", "DELETE", "BACKSPACE")
     assert (editor.text, editor.cursor) == ("rain", 0)
     assert editor.key("ENTER") == "rain" and editor.text == ""
 
 
-def test_tab_completes_what_is_sure_and_shows_the_rest() -> None:
-    editor = typed("d", "TAB")
+def test_tab_completes_the_common_prefix_and_lists_the_candidates() -> None:
+    editor = editor_after("d", "TAB")
     assert editor.text == "drain "
     editor.key("s")
     editor.key("TAB")
-    assert editor.text == "drain s-1" and editor.choices == ["s-1", "s-12"]
-    editor = typed("r", "TAB")
-    assert editor.text == "re" and editor.choices == ["refusals", "restore"]
-    assert typed(*"drain m", "TAB").text == "drain minutes="
-    assert typed(*"x", "TAB").text == "x"
+    assert editor.text == "drain s-1" and editor.completions == ["s-1", "s-12"]
+    editor = editor_after("r", "TAB")
+    assert editor.text == "re" and editor.completions == ["refusals", "restore"]
+    assert editor_after(*"drain m", "TAB").text == "drain minutes="
+    assert editor_after(*"x", "TAB").text == "x"
 
 
-def test_history_comes_back_and_the_line_being_typed_is_kept() -> None:
-    editor = typed(*"one", "ENTER", *"two", "ENTER", *"two", "ENTER", *"thr")
+def test_history_is_recalled_and_the_draft_line_is_kept() -> None:
+    editor = editor_after(*"one", "ENTER", *"two", "ENTER", *"two", "ENTER", *"thr")
     texts = []
     for key in ("UP", "UP", "UP", "DOWN", "DOWN", "DOWN"):
         editor.key(key)
         texts.append(editor.text)
     assert texts == ["two", "one", "one", "two", "thr", "thr"]
-    assert typed(*("a", "ENTER", "b", "ENTER") * 200).history[-1] == "b"
-    assert len(typed(*("a", "ENTER", "b", "ENTER") * 200).history) == MOST_HISTORY
+    assert editor_after(*("a", "ENTER", "b", "ENTER") * 200).history[-1] == "b"
+    assert len(editor_after(*("a", "ENTER", "b", "ENTER") * 200).history) == MAX_HISTORY_LINES
 
 
 @given(
@@ -98,7 +98,7 @@
     )
 )  # fmt: skip
 def test_cursor_stays_within_the_line(keys: list[str]) -> None:
-    editor = Editor(choices)
+    editor = Editor(completions)
     for key in keys:
         editor.key(key)
-        assert 0 <= editor.cursor <= len(editor.text) <= MOST_TEXT + 20
+        assert 0 <= editor.cursor <= len(editor.text) <= MAX_LINE_CHARACTERS + 20
--- a/tests/contained_errors.py
+++ b/tests/contained_errors.py
@@ -1,4 +1,4 @@
-"""A plugin of all tests (see `pyproject.toml`): errors that the program contained in the test's process."""
+"""pytest plugin for all tests (see `pyproject.toml`): fails tests in which the program contained an error."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 
 @pytest.fixture
 def errors_may_be_contained() -> None:
-    """For tests that raise errors on purpose."""
+    """Allow contained errors in a test that raises errors on purpose."""
 
 
 @pytest.fixture(autouse=True)
 def no_error_is_contained(request: pytest.FixtureRequest, monkeypatch: pytest.MonkeyPatch) -> Iterator[None]:
-    """Fail a test in which a part of the program, in this process, contained an error that nobody expected.
+    """Fail a test if the program, in the test's process, contained an unexpected error.
 
-    Danger: contained, it would be found by no assertion on what comes out.
+    Assertions on the program's output would not detect a contained error.
     """
     found: list[str] = []
-    real = ContainedErrors.report
+    original = ContainedErrors.report
 
     def report(self: ContainedErrors, place: str, error: BaseException, detail: object = "") -> None:
         found.append(f"{place}: {error!r} {detail}")
-        real(self, place, error, detail)
+        original(self, place, error, detail)
 
     monkeypatch.setattr(ContainedErrors, "report", report)
     yield
--- a/tests/control/test_book.py
+++ b/tests/control/test_book.py
@@ -1,16 +1,18 @@
-"""The observer behind the console: what it counts, and that it stays within bounds."""
+"""The request statistics and the event log: counts, rates and memory limits."""
 
 from __future__ import annotations
 
-from cloverrouter.control import book as books
-from cloverrouter.control.book import Book
-from cloverrouter.control.events import KEPT, Events
-from cloverrouter.interface import Outcome, Why
+from cloverrouter.control import book as stats_module
+from cloverrouter.control.book import TrafficStats
+from cloverrouter.control.events import MAX_EVENTS, Events
+from cloverrouter.interface import GiveUpReason, Outcome
 from cloverrouter.proxy.messages import Answer, Call
-from cloverrouter.proxy.observer import Final, Tried
+from cloverrouter.proxy.observer import AttemptResult, RequestResult
 
 
-class Asked(Call):
+class FakeCall(Call):
+    """A call without a client; its answer is discarded."""
+
     def __init__(self, class_name: str = "a", request_id: bytes = b"r") -> None:
         self.class_name, self.request_id = class_name, request_id
 
@@ -21,7 +23,7 @@
     def failed(self) -> None: ...
 
 
-CALL = Asked()
+CALL = FakeCall()
 
 
 class Clock:
@@ -31,73 +33,75 @@
         return self.ms
 
 
-def new() -> tuple[Book, Clock]:
+def new_stats() -> tuple[TrafficStats, Clock]:
     clock = Clock()
-    return Book(["a"], clock, lambda text: None), clock
+    return TrafficStats(["a"], clock, lambda text: None), clock
 
 
-def test_failure_is_kept_with_each_attempt_and_why() -> None:
-    book, _ = new()
-    trail = [Tried("s-1", Outcome.RESET, 12.0), Tried("s-2", Outcome.ERROR, 30.0)]
-    book.taken(Asked(request_id=b"id-1"))
-    book.ended(Asked(request_id=b"id-1"), Final.FAILED, Why.MAY_HAVE_RUN, trail, 55.0)
-    told = book.failures[0].told()
-    assert told["request"] == "id-1" and told["why"] == Why.MAY_HAVE_RUN.value
-    assert [(a["server"], a["outcome"]) for a in told["attempts"]] == [("s-1", "reset"), ("s-2", "error")]
-    assert book.classes["a"].finals[Final.FAILED] == 1 and not book.refusals
+def test_failure_is_recorded_with_its_attempts_and_reason() -> None:
+    stats, _ = new_stats()
+    attempts = [AttemptResult("s-1", Outcome.RESET, 12.0), AttemptResult("s-2", Outcome.ERROR, 30.0)]
+    stats.request_accepted(FakeCall(request_id=b"id-1"))
+    stats.request_ended(
+        FakeCall(request_id=b"id-1"), RequestResult.FAILED, GiveUpReason.MAY_HAVE_RUN, attempts, 55.0
+    )
+    record = stats.failures[0].to_json()
+    assert record["request"] == "id-1" and record["why"] == GiveUpReason.MAY_HAVE_RUN.value
+    assert [(a["server"], a["outcome"]) for a in record["attempts"]] == [("s-1", "reset"), ("s-2", "error")]
+    assert stats.classes["a"].results[RequestResult.FAILED] == 1 and not stats.refusals
 
 
-def test_rates_are_over_the_last_seconds_and_fall_to_nothing() -> None:
-    book, clock = new()
+def test_rates_cover_the_last_seconds_and_fall_to_zero() -> None:
+    stats, clock = new_stats()
     for _ in range(20):
         for _ in range(10):
-            book.taken(Asked())
-            book.tried(CALL, Tried("s", Outcome.OK, 5.0), None)
-            book.ended(Asked(), Final.SERVED, None, (), 5.0)
+            stats.request_accepted(FakeCall())
+            stats.attempt_ended(CALL, AttemptResult("s", Outcome.OK, 5.0), None)
+            stats.request_ended(FakeCall(), RequestResult.SERVED, None, (), 5.0)
         clock.ms += 1000
-        book.tick(["s"])
+        stats.tick(["s"])
     clock.ms += 0.001
-    assert abs(book.class_rates("a")["taken"] - 10) < 0.1
-    assert abs(book.server_rates("s")[0] - 10) < 0.1
+    assert abs(stats.class_rates("a")["taken"] - 10) < 0.1
+    assert abs(stats.server_rates("s")[0] - 10) < 0.1
     for _ in range(6):
         clock.ms += 1000
-        book.tick(["s"])
-    assert book.class_rates("a")["served"] == 0 == book.server_rates("s")[0]
+        stats.tick(["s"])
+    assert stats.class_rates("a")["served"] == 0 == stats.server_rates("s")[0]
 
 
-def test_what_is_not_the_servers_doing_is_no_failure_of_its() -> None:
-    book, _ = new()
+def test_unsent_and_cancelled_attempts_are_not_server_failures() -> None:
+    stats, _ = new_stats()
     for outcome in (Outcome.NOT_SENT, Outcome.CANCELLED):
-        book.tried(CALL, Tried("s", outcome, 1.0), None)
-    assert book.servers["s"].failed == 0
-    book.tried(CALL, Tried("s", Outcome.TIMEOUT, 1.0), None)
-    assert book.servers["s"].failed == 1
-
-
-def test_nothing_grows_without_bound() -> None:
-    book, clock = new()
-    for i in range(3 * books.MOST_SERVERS):
-        book.tried(CALL, Tried(f"s{i}", Outcome.OK, 1.0), (1.0,))
-        book.taken(Asked(f"c{i}"))
-        book.ended(Asked(f"c{i}"), Final.FAILED, None, (), 1.0)
-        book.ended(Asked(f"c{i}"), Final.REFUSED, None, (), 1.0)
-    assert len(book.servers) <= books.MOST_SERVERS
-    assert len(book.classes) <= books.MOST_CLASSES + 1
-    assert len(book.failures) == len(book.refusals) == books.KEPT
-    for _ in range(books.RATE_SAMPLES + 1):
+        stats.attempt_ended(CALL, AttemptResult("s", outcome, 1.0), None)
+    assert stats.servers["s"].failed == 0
+    stats.attempt_ended(CALL, AttemptResult("s", Outcome.TIMEOUT, 1.0), None)
+    assert stats.servers["s"].failed == 1
+
+
+def test_stored_data_is_bounded() -> None:
+    stats, clock = new_stats()
+    for i in range(3 * stats_module.MAX_SERVERS):
+        stats.attempt_ended(CALL, AttemptResult(f"s{i}", Outcome.OK, 1.0), (1.0,))
+        stats.request_accepted(FakeCall(f"c{i}"))
+        stats.request_ended(FakeCall(f"c{i}"), RequestResult.FAILED, None, (), 1.0)
+        stats.request_ended(FakeCall(f"c{i}"), RequestResult.REFUSED, None, (), 1.0)
+    assert len(stats.servers) <= stats_module.MAX_SERVERS
+    assert len(stats.classes) <= stats_module.MAX_CLASSES + 1
+    assert len(stats.failures) == len(stats.refusals) == stats_module.MAX_UNSERVED_REQUESTS
+    for _ in range(stats_module.RATE_SAMPLES + 1):
         clock.ms += 1000
-        book.tick(["s2999"])
-    assert set(book.servers) == {"s2999"}  # released servers' counts go
+        stats.tick(["s2999"])
+    assert set(stats.servers) == {"s2999"}  # counts of unlisted servers are removed
 
 
-def test_events_are_numbered_and_a_gap_is_told() -> None:
+def test_events_are_numbered_and_missing_ones_counted() -> None:
     events = Events(lambda: 0.0)
-    for i in range(KEPT + 100):
+    for i in range(MAX_EVENTS + 100):
         events.add("module", {"text": str(i)})
-    found, lost = events.since(0)
-    assert len(found) == KEPT and lost == 100 and found[0]["seq"] == 101
+    kept, lost = events.since(0)
+    assert len(kept) == MAX_EVENTS and lost == 100 and kept[0]["seq"] == 101
     assert events.since(events.last) == ([], 0)
-    found, lost = events.since(events.last - 3, 2)
-    assert [e["seq"] for e in found] == [events.last - 1, events.last] and lost == 1
-    # A number from before a restart lies ahead of what there is: all is told anew.
-    assert len(events.since(10**6)[0]) == KEPT
+    kept, lost = events.since(events.last - 3, 2)
+    assert [e["seq"] for e in kept] == [events.last - 1, events.last] and lost == 1
+    # A sequence number from before a restart is higher than the last event's: all events are returned.
+    assert len(events.since(10**6)[0]) == MAX_EVENTS
--- a/tests/control/test_protocol.py
+++ b/tests/control/test_protocol.py
@@ -1,4 +1,4 @@
-"""The control socket's lines: total, bounded, and the same whatever pieces they come in."""
+"""The control socket's protocol: decoding any input, line limits, chunking; arguments and command lines."""
 
 from __future__ import annotations
 
@@ -11,24 +11,24 @@
 from hypothesis import strategies as st
 
 from cloverrouter.control.protocol import (
-    MOST_LINE,
-    Asked,
+    MAX_LINE_BYTES,
     BadLine,
-    Lines,
+    LineBuffer,
     LineTooLong,
+    Request,
     decode,
     decode_answer,
     encode,
 )
-from cloverrouter.control.words import BadWords, parse, split
-from cloverrouter.seams import Argument, Command, CommandError, Commands, Json, Operator, checked
+from cloverrouter.control.words import UsageError, parse, split
+from cloverrouter.seams import Argument, Command, CommandError, Commands, Json, Operator, validate_arguments
 
-GOOD = {"v": 1, "id": 7, "do": "drain", "args": {"server": "s"}}
+VALID_REQUEST = {"v": 1, "id": 7, "do": "drain", "args": {"server": "s"}}
 
 
-def test_request_is_read() -> None:
-    assert decode(json.dumps(GOOD).encode()) == Asked(7, "drain", {"server": "s"})
-    assert decode(b'{"v":1,"id":"a","do":"status"}') == Asked("a", "status", {})
+def test_valid_request_is_decoded() -> None:
+    assert decode(json.dumps(VALID_REQUEST).encode()) == Request(7, "drain", {"server": "s"})
+    assert decode(b'{"v":1,"id":"a","do":"status"}') == Request("a", "status", {})
 
 
 @pytest.mark.parametrize(
@@ -50,70 +50,70 @@
         (b'{"v":true,"id":1,"do":"x"}', "bad_version"),
     ],
 )
-def test_what_is_no_request_is_one_error_that_says_what_would_be_right(line: bytes, code: str) -> None:
+def test_invalid_line_raises_an_error_with_the_valid_input(line: bytes, code: str) -> None:
     with pytest.raises(BadLine) as caught:
         decode(line)
     assert caught.value.code == code and caught.value.right
 
 
 @given(st.binary(max_size=300))
-def test_any_bytes_are_a_request_or_one_error(data: bytes) -> None:
+def test_any_bytes_decode_or_raise_bad_line(data: bytes) -> None:
     for read in (decode, decode_answer):
         with suppress(BadLine):
             read(data)
 
 
 @given(st.binary(max_size=400), st.lists(st.integers(1, 50), min_size=1))
-def test_lines_are_the_same_in_whatever_pieces_they_come(data: bytes, sizes: list[int]) -> None:
-    whole, pieces = Lines(), Lines()
+def test_lines_are_split_independently_of_chunking(data: bytes, sizes: list[int]) -> None:
+    whole, pieces = LineBuffer(), LineBuffer()
     expected = list(whole.feed(data))
-    found, place, turn = [], 0, 0
-    while place < len(data):
-        size = sizes[turn % len(sizes)]
-        found += list(pieces.feed(data[place : place + size]))
-        place, turn = place + size, turn + 1
+    found, offset, index = [], 0, 0
+    while offset < len(data):
+        size = sizes[index % len(sizes)]
+        found += list(pieces.feed(data[offset : offset + size]))
+        offset, index = offset + size, index + 1
     assert found == expected == data.split(b"\n")[:-1]
-    assert pieces.unfinished == (not data.endswith(b"\n") and data != b"")
+    assert pieces.has_partial_line == (not data.endswith(b"\n") and data != b"")
 
 
-def test_line_without_end_is_given_up_and_not_kept() -> None:
-    lines = Lines()
+def test_endless_line_raises_an_error_and_is_not_buffered() -> None:
+    lines = LineBuffer()
     with pytest.raises(LineTooLong):
         for _ in range(10_000):
             list(lines.feed(b"x" * 1000))
-    assert not lines.unfinished
+    assert not lines.has_partial_line
     with pytest.raises(LineTooLong):
-        list(Lines().feed(b"x" * (MOST_LINE + 1) + b"\n"))
-    assert list(Lines().feed(b"x" * MOST_LINE + b"\n")) == [b"x" * MOST_LINE]
+        list(LineBuffer().feed(b"x" * (MAX_LINE_BYTES + 1) + b"\n"))
+    assert list(LineBuffer().feed(b"x" * MAX_LINE_BYTES + b"\n")) == [b"x" * MAX_LINE_BYTES]
 
 
-def test_no_number_beyond_json_goes_out() -> None:
+def test_encode_rejects_nan() -> None:
     with pytest.raises(ValueError):
         encode({"x": float("nan")})
 
 
-# Arguments, and the words that people type
+# Arguments and command lines
 
 
-def nothing(who: Operator, told: Any) -> Json:
+def empty_result(operator: Operator, arguments: Any) -> Json:
     return {}
 
 
 DRAIN = Command(
     "drain",
     "x",
-    nothing,
+    empty_result,
     (
         Argument("server", str, "the id", required=True),
-        Argument("minutes", float, "how long", least=0.01, most=60),
+        Argument("minutes", float, "how long", minimum=0.01, maximum=60),
         Argument("force", bool, "or not", default=False),
-        Argument("count", int, "how many", default=3, least=1, most=5),
+        Argument("count", int, "how many", default=3, minimum=1, maximum=5),
     ),
 )
 
 
-def test_arguments_are_completed() -> None:
-    assert checked(DRAIN, {"server": "s", "minutes": 5}) == {
+def test_missing_arguments_get_their_defaults() -> None:
+    assert validate_arguments(DRAIN, {"server": "s", "minutes": 5}) == {
         "server": "s", "minutes": 5, "force": False, "count": 3,
     }  # fmt: skip
 
@@ -134,13 +134,13 @@
         {"server": "s", "sever": "t"},
     ],
 )
-def test_wrong_arguments_are_named(given_arguments: dict[str, Any]) -> None:
+def test_invalid_arguments_raise_an_error_with_the_valid_input(given_arguments: dict[str, Any]) -> None:
     with pytest.raises(CommandError) as caught:
-        checked(DRAIN, given_arguments)
+        validate_arguments(DRAIN, given_arguments)
     assert caught.value.code == "bad_argument" and caught.value.right
 
 
-def test_words_become_arguments_by_place_and_by_name() -> None:
+def test_words_are_parsed_as_positional_and_named_arguments() -> None:
     commands = Commands()
     commands.add(DRAIN)
     parsed = parse(split("drain s-1 minutes=2.5 force=yes"), commands.help())
@@ -154,8 +154,8 @@
     ["", "dran s", "drain", "drain s t", "drain s minutes=x", "drain s force=maybe", "drain s server=t",
      "drain 's"],
 )  # fmt: skip
-def test_wrong_words_say_what_would_be_right(line: str) -> None:
+def test_invalid_command_lines_raise_a_usage_error(line: str) -> None:
     commands = Commands()
     commands.add(DRAIN)
-    with pytest.raises(BadWords):
+    with pytest.raises(UsageError):
         parse(split(line), commands.help())
--- a/tests/control/test_socket.py
+++ b/tests/control/test_socket.py
@@ -1,4 +1,4 @@
-"""The control socket of a running proxy: who gets in, what it answers, and what it does not let happen."""
+"""The control socket of a running proxy: access, commands, and limits against misbehaving clients."""
 
 from __future__ import annotations
 
@@ -19,24 +19,24 @@
 from cloverrouter.control.server import ControlError, Server, open_socket
 from cloverrouter.lab.peers import LONG_S, Host, never, raw, reset, running
 from cloverrouter.seams import Argument, Command, Commands, Json, Operator
-from tests.standins.appliance import Line, boxed
+from tests.standins.appliance import ControlConnection, running_appliance
 
 
-async def fleet(count: int = 3) -> list[Host]:
+async def start_hosts(count: int = 3) -> list[Host]:
     return [await Host(f"h{i}").start() for i in range(count)]
 
 
 # The socket itself
 
 
-def test_folder_and_socket_are_private_and_a_living_proxys_socket_is_not_taken(tmp_path: Path) -> None:
+def test_folder_and_socket_are_private_and_a_live_socket_is_not_replaced(tmp_path: Path) -> None:
     path = tmp_path / "c" / "control.sock"
     with open_socket(path):
         assert stat.S_IMODE(path.parent.stat().st_mode) == 0o700
         assert stat.S_IMODE(path.stat().st_mode) == 0o600
         with pytest.raises(ControlError, match="another proxy"):
             open_socket(path)
-    with open_socket(path):  # what a killed proxy leaves behind is taken away
+    with open_socket(path):  # the socket that a killed proxy left behind is replaced
         pass
     path.unlink()
     path.write_text("mine")
@@ -48,10 +48,10 @@
         open_socket(path)
 
 
-def test_socket_whose_backlog_is_full_is_a_living_one(tmp_path: Path) -> None:
+def test_socket_with_a_full_backlog_is_not_replaced(tmp_path: Path) -> None:
     path = tmp_path / "c" / "control.sock"
     waiting = []
-    with open_socket(path):  # of a proxy that stands still: nobody is let in
+    with open_socket(path):  # as of a paused proxy: nothing accepts connections
         with pytest.raises(BlockingIOError):
             for _ in range(1000):
                 sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
@@ -66,31 +66,31 @@
 
 
 @pytest.mark.parametrize("data", [b"\n" * 10_000, encode({"id": 1, "do": "x", "args": {}}) * 600])
-def test_many_lines_at_once_are_not_taken_in(data: bytes, tmp_path: Path) -> None:
-    async def scene() -> None:
+def test_too_many_lines_in_one_read_close_the_connection(data: bytes, tmp_path: Path) -> None:
+    async def scenario() -> None:
         server = Server("n", "b", tmp_path / "c" / "s", Commands(), Events(lambda: 0.0), 4, 65536)
         server.listen()
         reader, writer = await asyncio.open_unix_connection(str(server.path))
-        line = Line(reader, writer)
+        line = ControlConnection(reader, writer)
         await line.read()
         (client,) = server.clients
         client.data_received(data)
-        while (told := await line.read()) and "bye" not in told:
+        while (message := await line.read()) and "bye" not in message:
             pass
-        assert told["bye"] == "too_many"
+        assert message["bye"] == "too_many"
         writer.close()
         server.close()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_second_proxy_on_the_same_folder_does_not_start_and_says_why() -> None:
-    async def scene() -> None:
-        hosts = await fleet(1)
-        async with boxed(hosts) as (box, proxy, _):
+def test_second_proxy_on_the_same_folder_fails_to_start() -> None:
+    async def scenario() -> None:
+        hosts = await start_hosts(1)
+        async with running_appliance(hosts) as (box, proxy, _):
             config = box.folder / "config.json"
-            told = json.loads(proxy.config.read_text())
-            config.write_text(json.dumps({**told, "listen": "127.31.9.9:3000"}))
+            settings = json.loads(proxy.config.read_text())
+            config.write_text(json.dumps({**settings, "listen": "127.31.9.9:3000"}))
             second = await asyncio.create_subprocess_exec(
                 sys.executable, "-m", "cloverrouter.proxy",
                 env={**os.environ, **box.environ, "PROXY_CONFIG": str(config)},
@@ -99,37 +99,37 @@
             async with asyncio.timeout(LONG_S):
                 _, err = await second.communicate()
             assert second.returncode == 2 and b"another proxy listens" in err
-            assert (await (await box.line()).ask("status"))["ok"]
+            assert (await (await box.connect()).ask("status"))["ok"]
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_peer_of_another_user_is_turned_away(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_peer_of_another_user_is_rejected(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(control, "peer_of", lambda sock: Operator(12345, 7, "eve"))
 
-    async def scene() -> None:
+    async def scenario() -> None:
         server = Server("n", "b", tmp_path / "c" / "s", Commands(), Events(lambda: 0.0), 4, 65536)
         server.listen()
         reader, _ = await asyncio.open_unix_connection(str(server.path))
-        told = json.loads(await reader.readline())
-        assert told["bye"] == "not_allowed" and "eve" in told["text"]
+        message = json.loads(await reader.readline())
+        assert message["bye"] == "not_allowed" and "eve" in message["text"]
         assert await reader.read() == b"" and not server.clients
         server.close()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 # Commands
 
 
-def test_status_and_servers_tell_what_module_roster_and_counts_say() -> None:
-    async def scene() -> None:
-        hosts = await fleet(2)
-        async with boxed(hosts) as (box, proxy, _):
+def test_status_servers_and_load_report_counts_and_conditions() -> None:
+    async def scenario() -> None:
+        hosts = await start_hosts(2)
+        async with running_appliance(hosts) as (box, proxy, _):
             client = await proxy.client()
             for _ in range(10):
                 assert (await client.ask("/keyed")).status == 200
-            line = await box.line()
+            line = await box.connect()
             assert line.hello["hello"] == "cloverrouter" and line.hello["v"] == 1
             status = await line.result("status")
             assert status["servers"] == {"listed": 2, "healthy": 2, "drained": 0}
@@ -143,14 +143,14 @@
             names = {c["name"] for c in (await line.result("help"))["commands"]}
             assert {"status", "servers", "drain", "restore", "failures", "refusals", "events"} <= names
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_failures_and_refusals_are_told_with_attempts_and_reasons() -> None:
-    async def scene() -> None:
+def test_failures_and_refusals_are_reported_with_attempts_and_reasons() -> None:
+    async def scenario() -> None:
         host = await Host("h0", reset).start()
-        async with boxed([host]) as (box, proxy, discovery):
-            client, line = await proxy.client(), await box.line()
+        async with running_appliance([host]) as (box, proxy, discovery):
+            client, line = await proxy.client(), await box.connect()
             assert (await client.ask("/unsafe")).status == 502
             (failure,) = (await line.result("failures"))["failures"]
             assert failure["class"] == "unsafe" and "may have run" in failure["why"]
@@ -165,17 +165,17 @@
             assert (await client.read()).status == 404
             assert (await line.result("load"))["turned_away"] == {"404": 1}
 
-    async def known(line: Line, name: str) -> bool:
+    async def known(line: ControlConnection, name: str) -> bool:
         return any(s["server"] == name for s in (await line.result("servers"))["servers"])
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_drain_and_restore_answer_who_when_old_and_new_and_are_idempotent() -> None:
-    async def scene() -> None:
-        hosts = await fleet(2)
-        async with boxed(hosts) as (box, proxy, _):
-            line, client = await box.line(), await proxy.client()
+def test_drain_and_restore_report_the_change_and_are_idempotent() -> None:
+    async def scenario() -> None:
+        hosts = await start_hosts(2)
+        async with running_appliance(hosts) as (box, proxy, _):
+            line, client = await box.connect(), await proxy.client()
             before_ms = time.time() * 1000
             done = await line.result("drain", server="h0", note="disk")
             assert (done["before"], done["after"], done["changed"]) == ("ready", "drained", True)
@@ -194,16 +194,16 @@
                 assert (await client.ask("/keyed")).status == 200
             await proxy.logged("drain h0 by")
             events = (await line.result("events"))["events"]
-            said = [(e["command"], e["server"]) for e in events if e["kind"] == "operator"]
-            assert said == [("drain", "h0"), ("restore", "h0")]  # what changed nothing is no event
+            commands = [(e["command"], e["server"]) for e in events if e["kind"] == "operator"]
+            assert commands == [("drain", "h0"), ("restore", "h0")]  # commands without effect add no event
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_unknown_server_and_command_name_what_would_be_right() -> None:
-    async def scene() -> None:
-        async with boxed(await fleet(2)) as (box, _, _):
-            line = await box.line()
+def test_errors_name_the_known_servers_and_commands() -> None:
+    async def scenario() -> None:
+        async with running_appliance(await start_hosts(2)) as (box, _, _):
+            line = await box.connect()
             error = (await line.ask("drain", server="h9"))["error"]
             assert error["code"] == "no_server" and "h0, h1" in error["right"]
             error = (await line.ask("dran"))["error"]
@@ -211,36 +211,36 @@
             error = (await line.ask("drain", server="h0", minutes="x"))["error"]
             assert error["code"] == "bad_argument" and "minutes" in error["text"]
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_last_healthy_server_takes_a_second_step() -> None:
-    async def scene() -> None:
-        hosts = await fleet(2)
-        async with boxed(hosts) as (box, proxy, _):
-            line, client = await box.line(), await proxy.client()
+def test_drain_of_the_last_healthy_server_needs_confirmation() -> None:
+    async def scenario() -> None:
+        hosts = await start_hosts(2)
+        async with running_appliance(hosts) as (box, proxy, _):
+            line, client = await box.connect(), await proxy.client()
             await line.result("drain", server="h0")
             error = (await line.ask("drain", server="h1"))["error"]
             assert error["code"] == "last_healthy" and error["remaining"] == {"h0": "draining"}
             assert "h1" in error["right"]
             assert (await line.ask("drain", server="h1", confirm="h0"))["error"]["code"] == "last_healthy"
-            assert (await client.ask("/keyed")).status == 200  # and nothing has happened
+            assert (await client.ask("/keyed")).status == 200  # the server is not drained
             done = await line.result("drain", server="h1", confirm="h1")
             assert done["after"] == "drained"
-            begun = time.monotonic()
+            started = time.monotonic()
             assert (await client.ask("/keyed", timeout_ms=1000)).status == 503
-            assert time.monotonic() - begun < LONG_S
+            assert time.monotonic() - started < LONG_S
             assert "no server can take work" in (await line.result("status"))["alarms"]
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 def test_paused_servers_do_not_count_as_healthy() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         full = raw(b"HTTP/1.1 503 S\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n")
         hosts = [await Host("h0").start(), await Host("h1", full).start()]
-        async with boxed(hosts) as (box, proxy, discovery):
-            line, client = await box.line(), await proxy.client()
+        async with running_appliance(hosts) as (box, proxy, discovery):
+            line, client = await box.connect(), await proxy.client()
             await discovery.change(hosts[0].entry("leaving"))
             while (await line.server("h1"))["paused_s"] < 1:  # each refusal doubles its pause
                 await client.ask("/unsafe", timeout_ms=1400)
@@ -250,13 +250,13 @@
             error = (await line.ask("drain", server="h0"))["error"]
             assert error["code"] == "last_healthy" and error["remaining"]["h1"].startswith("paused")
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_of_two_that_drain_the_last_two_in_the_same_instant_exactly_one_succeeds() -> None:
-    async def scene() -> None:
-        async with boxed(await fleet(2)) as (box, _, _):
-            lines = [await box.line(), await box.line()]
+def test_exactly_one_of_two_concurrent_drains_of_the_last_two_servers_succeeds() -> None:
+    async def scenario() -> None:
+        async with running_appliance(await start_hosts(2)) as (box, _, _):
+            lines = [await box.connect(), await box.connect()]
             for _ in range(10):
                 answers = await asyncio.gather(
                     lines[0].ask("drain", server="h0"), lines[1].ask("drain", server="h1")
@@ -267,30 +267,30 @@
                 for name in ("h0", "h1"):
                     await lines[0].result("restore", server=name)
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_two_that_contradict_each_other_each_see_what_the_other_did() -> None:
-    async def scene() -> None:
-        async with boxed(await fleet(3)) as (box, _, _):
-            one, other = await box.line(), await box.line()
+def test_conflicting_operators_see_each_others_changes() -> None:
+    async def scenario() -> None:
+        async with running_appliance(await start_hosts(3)) as (box, _, _):
+            one, other = await box.connect(), await box.connect()
             for _ in range(5):
                 await one.result("drain", server="h0")
                 done = await other.result("restore", server="h0")
                 assert done["before"] == "drained" and done["after"] == "ready"
                 assert (await one.server("h0"))["state"] == "ready"
             events = (await one.result("events"))["events"]
-            said = [e["command"] for e in events if e["kind"] == "operator"]
-            assert said == ["drain", "restore"] * 5
+            commands = [e["command"] for e in events if e["kind"] == "operator"]
+            assert commands == ["drain", "restore"] * 5
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_what_is_out_on_a_drained_server_ends_there_once() -> None:
-    async def scene() -> None:
+def test_attempt_in_flight_on_a_drained_server_completes_once() -> None:
+    async def scenario() -> None:
         hosts = [await Host("h0", never).start(), await Host("h1", never).start()]
-        async with boxed(hosts) as (box, proxy, _):
-            line, client = await box.line(), await proxy.client()
+        async with running_appliance(hosts) as (box, proxy, _):
+            line, client = await box.connect(), await proxy.client()
             client.send("/unsafe")
             async with asyncio.timeout(LONG_S):
                 while not any(h.seen for h in hosts):
@@ -300,16 +300,16 @@
             busy.open[1].write(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nkept")
             assert (await client.read()).body == b"kept"
             assert sum(len(h.seen) for h in hosts) == 1
-            await busy.wait(lambda: not busy.open)  # and its connection is not kept idle there
+            await busy.wait(lambda: not busy.open)  # the idle connection is closed
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_drain_with_a_time_ends_by_itself() -> None:
-    async def scene() -> None:
-        hosts = await fleet(2)
-        async with boxed(hosts) as (box, proxy, _):
-            line, client = await box.line(), await proxy.client()
+def test_timed_drain_expires() -> None:
+    async def scenario() -> None:
+        hosts = await start_hosts(2)
+        async with running_appliance(hosts) as (box, proxy, _):
+            line, client = await box.connect(), await proxy.client()
             done = await line.result("drain", server="h0", minutes=0.02)
             assert done["until_ms"] > done["at_ms"]
             async with asyncio.timeout(LONG_S):
@@ -318,19 +318,19 @@
             assert (await line.server("h0"))["state"] == "ready"
             assert time.time() * 1000 >= done["until_ms"]
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_drains_live_through_a_kill_and_an_unreadable_file_is_said_loudly() -> None:
-    async def scene() -> None:
-        hosts = await fleet(2)
-        async with boxed(hosts) as (box, proxy, discovery):
-            line = await box.line()
+def test_drains_survive_a_kill_and_a_corrupt_file_raises_an_alarm() -> None:
+    async def scenario() -> None:
+        hosts = await start_hosts(2)
+        async with running_appliance(hosts) as (box, proxy, discovery):
+            line = await box.connect()
             assert (await line.result("drain", server="h0"))["saved"]
             proxy.process.kill()
             await proxy.ended()
             async with running(discovery, hosts, environ=box.environ) as second:
-                assert (await (await box.line()).server("h0"))["state"] == "drained"
+                assert (await (await box.connect()).server("h0"))["state"] == "drained"
                 client = await second.client()
                 for _ in range(8):
                     assert (await client.ask("/keyed")).status == 200
@@ -340,18 +340,18 @@
             (box.state / "drains").write_bytes((box.state / "drains").read_bytes()[:-1])
             async with running(discovery, hosts, environ=box.environ) as third:
                 await third.logged("could not be read")
-                line = await box.line()
+                line = await box.connect()
                 assert (await line.server("h0"))["state"] == "ready"
                 assert any("unreadable" in text for text in (await line.result("status"))["alarms"])
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_events_are_followed() -> None:
-    async def scene() -> None:
-        hosts = await fleet(2)
-        async with boxed(hosts) as (box, _, discovery):
-            follower, line = await box.line(), await box.line()
+def test_followed_events_are_sent() -> None:
+    async def scenario() -> None:
+        hosts = await start_hosts(2)
+        async with running_appliance(hosts) as (box, _, discovery):
+            follower, line = await box.connect(), await box.connect()
             assert (await follower.ask("events", follow=True))["ok"]
             await line.result("drain", server="h0")
             event = (await follower.read())["event"]
@@ -360,17 +360,17 @@
             event = (await follower.read())["event"]
             assert (event["kind"], event["server"], event["after"]) == ("roster", "h1", "leaving")
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-# Bad peers
+# Misbehaving clients
 
 
-async def serve_while(box_line: Line, proxy_client: object, ask: int = 20) -> None:
-    """Requests and commands are answered as ever."""
-    for _ in range(ask):
-        assert (await proxy_client.ask("/keyed")).status == 200  # type: ignore[attr-defined]
-    assert (await box_line.ask("status"))["ok"]
+async def check_service(line: ControlConnection, client: object, requests: int = 20) -> None:
+    """Check that requests and commands are answered."""
+    for _ in range(requests):
+        assert (await client.ask("/keyed")).status == 200  # type: ignore[attr-defined]
+    assert (await line.ask("status"))["ok"]
 
 
 @pytest.mark.parametrize(
@@ -383,10 +383,10 @@
     ],
     ids=["10 MB line", "http", "flood", "garbage"],
 )
-def test_garbage_costs_its_connection_and_no_request(data: bytes, bye: str | None) -> None:
-    async def scene() -> None:
-        async with boxed(await fleet(2)) as (box, proxy, _):
-            line, client, bad = await box.line(), await proxy.client(), await box.line()
+def test_malformed_input_affects_only_its_connection(data: bytes, bye: str | None) -> None:
+    async def scenario() -> None:
+        async with running_appliance(await start_hosts(2)) as (box, proxy, _):
+            line, client, bad = await box.connect(), await proxy.client(), await box.connect()
 
             async def send() -> None:
                 try:
@@ -396,33 +396,33 @@
                     pass
 
             sending = asyncio.create_task(send())
-            await serve_while(line, client)
+            await check_service(line, client)
             if bye is None:
                 assert (await bad.read())["error"]["code"] == "bad_line"
                 bad.last_id = 5
-                assert (await bad.ask("status"))["ok"]  # one bad line is forgiven
+                assert (await bad.ask("status"))["ok"]  # one bad line does not close the connection
             else:
-                told = await bad.read()
-                while told and "bye" not in told:
-                    told = await bad.read()
-                assert told == {} or told["bye"] == bye  # a reset may overtake the last word
+                message = await bad.read()
+                while message and "bye" not in message:
+                    message = await bad.read()
+                assert message == {} or message["bye"] == bye  # a reset may discard the last line
                 await sending
-            await serve_while(line, client)
+            await check_service(line, client)
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_half_a_line_is_given_up(monkeypatch: pytest.MonkeyPatch, tmp_path: Path) -> None:
+def test_incomplete_line_times_out(monkeypatch: pytest.MonkeyPatch, tmp_path: Path) -> None:
     monkeypatch.setattr(control, "UNFINISHED_S", 0.2)
 
-    async def scene() -> None:
+    async def scenario() -> None:
         server = Server("n", "b", tmp_path / "c" / "s", Commands(), Events(lambda: 0.0), 4, 65536)
         server.listen()
         reader, writer = await asyncio.open_unix_connection(str(server.path))
         await reader.readline()
-        line = Line(reader, writer)
+        line = ControlConnection(reader, writer)
 
-        async def dribble() -> None:  # a byte now and then does not prolong it
+        async def dribble() -> None:  # single bytes do not extend the timeout
             while not reader.at_eof():
                 writer.write(b"x")
                 await asyncio.sleep(0.02)
@@ -432,50 +432,50 @@
         task.cancel()
         server.close()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_thousand_connects_take_up_no_request_and_no_descriptor() -> None:
-    async def scene() -> None:
-        async with boxed(await fleet(2), control="clients = 4") as (box, proxy, _):
-            line, client = await box.line(), await proxy.client()
+def test_thousand_connects_do_not_affect_requests_or_descriptors() -> None:
+    async def scenario() -> None:
+        async with running_appliance(await start_hosts(2), control="clients = 4") as (box, proxy, _):
+            line, client = await box.connect(), await proxy.client()
             loop = asyncio.get_running_loop()
 
             def flood() -> int:
-                told = 0
-                kept = []
+                rejected = 0
+                sockets = []
                 for _ in range(1000):
                     sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-                    sock.connect(str(box.socket))  # blocking: it waits while the backlog is full
+                    sock.connect(str(box.socket))  # blocks while the backlog is full
                     sock.settimeout(LONG_S)
-                    kept.append(sock)
-                    if len(kept) > 100:
-                        kept.pop(0).close()
-                for sock in kept[10:]:
-                    told += b"too_many" in sock.recv(4096)
+                    sockets.append(sock)
+                    if len(sockets) > 100:
+                        sockets.pop(0).close()
+                for sock in sockets[10:]:
+                    rejected += b"too_many" in sock.recv(4096)
                     sock.close()
-                return told
+                return rejected
 
             flooding = loop.run_in_executor(None, flood)
-            most = 0
+            max_descriptors = 0
             while not flooding.done():
-                await serve_while(line, client, 5)
-                most = max(most, len(os.listdir(f"/proc/{proxy.process.pid}/fd")))
-            assert (await flooding) >= 80  # all but those that found a place were told why not
-            assert most < 60
-            await serve_while(line, client)
+                await check_service(line, client, 5)
+                max_descriptors = max(max_descriptors, len(os.listdir(f"/proc/{proxy.process.pid}/fd")))
+            assert (await flooding) >= 80  # all except the accepted ones received the reason
+            assert max_descriptors < 60
+            await check_service(line, client)
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_slow_reader_is_dropped_and_told_why_and_holds_up_nobody(tmp_path: Path) -> None:
-    def much(who: Operator, told: object) -> Json:
+def test_slow_reader_is_disconnected_with_a_reason(tmp_path: Path) -> None:
+    def large_result(operator: Operator, values: object) -> Json:
         return {"x": "y" * 4000}
 
-    async def scene() -> None:
+    async def scenario() -> None:
         commands, events = Commands(), Events(lambda: 0.0)
         arguments = (Argument("follow", bool, "x", default=False),)
-        commands.add(Command("events", "x", much, arguments))
+        commands.add(Command("events", "x", large_result, arguments))
         server = Server("n", "b", tmp_path / "c" / "s", commands, events, 4, 65536)
         server.listen()
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
@@ -487,17 +487,17 @@
             while not events.followers:
                 await asyncio.sleep(0.01)
         count = 0
-        while events.followers and count < 10_000:  # nobody reads
+        while events.followers and count < 10_000:  # the client does not read
             events.add("module", {"text": "z" * 1000})
             count += 1
-            if server.dismissed:
+            if server.disconnects:
                 break
-        assert server.dismissed == 1 and count < 400
-        got = b""
+        assert server.disconnects == 1 and count < 400
+        received = b""
         async with asyncio.timeout(LONG_S):
             while data := await loop.sock_recv(sock, 65536):
-                got += data
-        assert json.loads(got.splitlines()[-1])["bye"] == "slow_reader"
+                received += data
+        assert json.loads(received.splitlines()[-1])["bye"] == "slow_reader"
         async with asyncio.timeout(LONG_S):
             while server.clients:
                 await asyncio.sleep(0.01)
@@ -505,46 +505,46 @@
         sock.close()
         server.close()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_script_that_asks_without_pause_is_held_to_its_rate(tmp_path: Path) -> None:
-    async def scene() -> None:
+def test_request_rate_of_a_connection_is_limited(tmp_path: Path) -> None:
+    async def scenario() -> None:
         commands = Commands()
-        commands.add(Command("status", "x", lambda who, told: {}))
+        commands.add(Command("status", "x", lambda operator, arguments: {}))
         server = Server("n", "b", tmp_path / "c" / "s", commands, Events(lambda: 0.0), 4, 65536)
         server.listen()
         reader, writer = await asyncio.open_unix_connection(str(server.path))
-        line = Line(reader, writer)
+        line = ControlConnection(reader, writer)
         await line.read()
-        begun = time.monotonic()
-        count = int(control.BURST) + 10
+        started = time.monotonic()
+        count = int(control.BURST_REQUESTS) + 10
         for _ in range(count):
             await line.ask("status")
-        assert time.monotonic() - begun > 9 / control.RATE_PER_S
+        assert time.monotonic() - started > 9 / control.REQUESTS_PER_S
         server.close()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_leaving_proxy_says_so_and_takes_its_socket_away() -> None:
-    async def scene() -> None:
-        async with boxed(await fleet(1)) as (box, proxy, _):
-            line = await box.line()
+def test_stopping_proxy_says_bye_and_removes_its_socket() -> None:
+    async def scenario() -> None:
+        async with running_appliance(await start_hosts(1)) as (box, proxy, _):
+            line = await box.connect()
             proxy.process.terminate()
             assert (await line.read())["bye"] == "ending"
             assert await proxy.ended() == 0
             assert not box.socket.exists()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 # ctl
 
 
-def test_ctl_exits_by_what_came_of_it() -> None:
-    async def scene() -> None:
-        async with boxed(await fleet(2)) as (box, proxy, _):
+def test_ctl_exit_codes() -> None:
+    async def scenario() -> None:
+        async with running_appliance(await start_hosts(2)) as (box, proxy, _):
             code, out, _ = await box.ctl("drain", "h0", "minutes=5")
             assert code == 0 and out.startswith("h0: ready -> drained until ")
             code, out, _ = await box.ctl("--json", "servers")
@@ -572,4 +572,4 @@
             code, _, err = await box.ctl("status")
             assert code == 3 and "is the proxy running" in err
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
--- a/tests/driver.py
+++ b/tests/driver.py
@@ -1,4 +1,4 @@
-"""What the tests share: settings to start from, and a driver that keeps a balancer's clock and timers."""
+"""Shared test support: default settings, and a driver that keeps a balancer's clock and timers."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
     EndpointState,
     Event,
     Idempotency,
+    IdempotencyScope,
     Limits,
     ListedEndpoint,
     ListKind,
     Outcome,
-    RepeatScope,
     RequestArrived,
     RequestClass,
     Safety,
@@ -33,15 +33,15 @@
     SAFE,
     name="keyed",
     idempotency=Idempotency.KEYED,
-    repeat_scope=RepeatScope.ZONE,
-    repeat_window_ms=800,
+    idempotency_scope=IdempotencyScope.ZONE,
+    idempotency_window_ms=800,
 )
 SETTINGS = Settings(
     classes=(SAFE, UNSAFE, KEYED),
     zone="a",
     proxies=3,
     limits=Limits(max_attempts=4),
-    safety=Safety(cold_share=0.2, cold_ms=10_000, push_multiple=3, push_window_ms=1500),
+    safety=Safety(cold_share=0.2, cold_ms=10_000, overload_multiple=3, overload_window_ms=1500),
 )
 
 
@@ -64,7 +64,7 @@
 
 
 class Driver:
-    """Plays the proxy: hands over events, fires timers when due, remembers the attempts sent."""
+    """Stands in for the proxy: dispatches events, fires timers when due, records the attempts sent."""
 
     def __init__(
         self,
@@ -78,12 +78,12 @@
         self.sent: dict[int, list[str]] = {}
         self.log: list[Action] = []
         self.last_id = 0
-        self.tell(EndpointsListed(ListKind.RESTORED, tuple(endpoints)))
-        for known in self.balancer.membership.endpoints.values():
-            known.limit = 4.0  # past the slow start
-        self.balancer.flow.limit = 100.0
+        self.dispatch(EndpointsListed(ListKind.RESTORED, tuple(endpoints)))
+        for server in self.balancer.membership.endpoints.values():
+            server.limit = 4.0  # as after the slow start
+        self.balancer.concurrency_limit.limit = 100.0
 
-    def tell(self, *events: Event) -> list[Action]:
+    def dispatch(self, *events: Event) -> list[Action]:
         actions = self.balancer.handle(self.now_ms, events)
         for action in actions:
             if isinstance(action, SetTimer):
@@ -94,28 +94,28 @@
         return [a for a in actions if not isinstance(a, SetTimer)]
 
     def wait(self, ms: float) -> list[Action]:
-        """Let time pass; what was done when timers fired meanwhile."""
+        """Advance the clock; return the actions of the timers that fired meanwhile."""
         until, done = self.now_ms + ms, []
         while due := [t for t in self.timers if t[0] <= until]:
             timer = min(due)
             self.timers.remove(timer)
             self.now_ms = max(self.now_ms, timer[0])
-            done += self.tell(TimerFired(timer[1]))
+            done += self.dispatch(TimerFired(timer[1]))
         self.now_ms = until
         return done
 
     def request(self, class_name: str = "safe", deadline_ms: float | None = None) -> tuple[int, list[Action]]:
         self.last_id += 1
-        return self.last_id, self.tell(RequestArrived(self.last_id, class_name, deadline_ms))
+        return self.last_id, self.dispatch(RequestArrived(self.last_id, class_name, deadline_ms))
 
     def end(self, request_id: int, outcome: Outcome, latency_ms: float = 50.0) -> list[Action]:
         """End the last attempt of a request."""
         attempt = len(self.sent[request_id]) - 1
         answered = outcome is Outcome.OK
-        return self.tell(AttemptEnded(request_id, attempt, outcome, latency_ms, answered))
+        return self.dispatch(AttemptEnded(request_id, attempt, outcome, latency_ms, answered))
 
     def serve(self, count: int, class_name: str = "safe", latency_ms: float = 50.0) -> None:
-        """Have `count` requests served, one after the other."""
+        """Complete `count` requests successfully, one after the other."""
         for _ in range(count):
             request_id, _ = self.request(class_name)
             self.wait(latency_ms)
--- a/tests/endings/test_front.py
+++ b/tests/endings/test_front.py
@@ -1,6 +1,7 @@
-"""The end of a client's connection, and of the process, where something is still owed on it.
+"""Closing client connections, and the process, while requests or answers are still outstanding.
 
-The order is held by data put into sockets while no step of the loop runs, by handlers told when to answer.
+The order of events is fixed by writing to sockets while the event loop is blocked, and by handlers that
+answer only when the test lets them.
 """
 
 from __future__ import annotations
@@ -26,22 +27,22 @@
 from cloverrouter.proxy import frontend as front
 from cloverrouter.proxy import listener, overload
 from cloverrouter.proxy.frontend import Frontend
-from cloverrouter.proxy.shutdown import GONE_S, STILL_ACCEPTING_S, drain
+from cloverrouter.proxy.shutdown import ACCEPT_PERIOD_S, EXIT_MARGIN_S, drain
 from cloverrouter.proxy.wake import Loop
 from tests.test_upstream import FakeCall, until
-from tests.test_wake import node_with, play, told
-from tests.test_waking_front import connect, front_of, request
+from tests.test_wake import make_node, record_events, run_scene
+from tests.test_waking_front import connect, request, start_frontend
 
-CLOSING = b"Connection: close\r\n"
-MUCH = b"y" * 60_000
+CONNECTION_CLOSE = b"Connection: close\r\n"
+LARGE_BODY = b"y" * 60_000
 
 
-def asking_last(name: str) -> bytes:
-    return request(name).replace(b"\r\n\r\n", b"\r\n" + CLOSING + b"\r\n")
+def request_with_close(name: str) -> bytes:
+    return request(name).replace(b"\r\n\r\n", b"\r\n" + CONNECTION_CLOSE + b"\r\n")
 
 
-def small(address: tuple[str, int], data: bytes) -> socket.socket:
-    """A client that takes in little before it reads."""
+def connect_with_small_buffer(address: tuple[str, int], data: bytes) -> socket.socket:
+    """Connect a client whose receive buffer holds little of an answer."""
     client = socket.socket()
     client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     client.connect(address)
@@ -63,11 +64,11 @@
     client.shutdown(socket.SHUT_WR)
 
 
-WAYS = pytest.mark.parametrize("leave", [fin, rst, half_close])
+DISCONNECTS = pytest.mark.parametrize("disconnect", [fin, rst, half_close])
 
 
-async def rest_of(client: socket.socket) -> bytes:
-    """All up to the connection's end; `ConnectionResetError` where it is cut."""
+async def read_to_end(client: socket.socket) -> bytes:
+    """Read until the connection ends. Raises ConnectionResetError if it is reset."""
     client.setblocking(False)
     got = b""
     while piece := await asyncio.get_running_loop().sock_recv(client, 65536):
@@ -76,239 +77,244 @@
 
 
 def test_last_answer_reaches_a_client_whose_bytes_were_not_read() -> None:
-    """Closed with them unread, the kernel resets the connection, and drops what it has not sent yet."""
+    """close(2) with unread input resets the connection, and the kernel drops what it has not sent yet."""
 
     async def scene(loop: Loop) -> None:
-        _, held, address = await front_of(loop, 8)
-        client = small(address, asking_last("r0"))
-        await until(lambda: held.calls)
-        client.sendall(b"more than was asked for " * 20)  # no step of the loop reads it before the answer
-        held.calls.pop().reply(200, MUCH)
+        _, handler, address = await start_frontend(loop, 8)
+        client = connect_with_small_buffer(address, request_with_close("r0"))
+        await until(lambda: handler.calls)
+        client.sendall(b"more than was asked for " * 20)  # not read before the answer is written
+        handler.calls.pop().reply(200, LARGE_BODY)
         async with asyncio.timeout(10):
-            assert (await rest_of(client)).endswith(MUCH)
+            assert (await read_to_end(client)).endswith(LARGE_BODY)
 
-    play(scene)
+    run_scene(scene)
 
 
 def test_last_answer_reaches_a_client_that_sends_after_it() -> None:
     async def scene(loop: Loop) -> None:
-        frontend, held, address = await front_of(loop, 8)
-        client = small(address, asking_last("r0"))
-        await until(lambda: held.calls)
-        held.calls.pop().reply(200, MUCH)
+        frontend, handler, address = await start_frontend(loop, 8)
+        client = connect_with_small_buffer(address, request_with_close("r0"))
+        await until(lambda: handler.calls)
+        handler.calls.pop().reply(200, LARGE_BODY)
         client.sendall(request("r1"))
         await asyncio.sleep(0)
         async with asyncio.timeout(10):
-            assert (await rest_of(client)).endswith(MUCH)
-        assert not held.calls  # what comes behind the end is read and dropped
+            assert (await read_to_end(client)).endswith(LARGE_BODY)
+        assert not handler.calls  # input after the last answer is discarded
         client.close()
         await until(lambda: not frontend.count)
 
-    play(scene)
+    run_scene(scene)
 
 
-def test_room_is_not_made_by_an_answer_that_has_not_left() -> None:
+def test_connection_with_an_unflushed_answer_is_not_evicted() -> None:
     async def scene(loop: Loop) -> None:
-        frontend, held, address = await front_of(loop, 8)
-        client = small(address, asking_last("r0"))
-        await until(lambda: held.calls)
-        body = MUCH * 60
-        held.calls.pop().reply(200, body)
-        assert frontend.owing
-        assert not frontend.evict(gently=True)
+        frontend, handler, address = await start_frontend(loop, 8)
+        client = connect_with_small_buffer(address, request_with_close("r0"))
+        await until(lambda: handler.calls)
+        body = LARGE_BODY * 60
+        handler.calls.pop().reply(200, body)
+        assert frontend.has_unfinished_answers
+        assert not frontend.evict(spare_active=True)
         async with asyncio.timeout(10):
-            assert (await rest_of(client)).endswith(body)
-        assert frontend.evict(gently=True)  # and then at once, whether its client closes or not
+            assert (await read_to_end(client)).endswith(body)
+        assert frontend.evict(spare_active=True)  # once flushed, even if the client has not closed
 
-    play(scene)
+    run_scene(scene)
 
 
-# A client that leaves while its request waits: in the module, behind another, held back, with much unread
+# Clients that disconnect while a request is queued, waits behind another or is streamed, or with unread
+# answers
 
 
-@WAYS
-def test_client_that_leaves_withdraws_what_is_open_and_what_waits_behind_it(
-    leave: Callable[[socket.socket], None],
+@DISCONNECTS
+def test_disconnect_withdraws_the_open_request_and_those_behind_it(
+    disconnect: Callable[[socket.socket], None],
 ) -> None:
     async def scene(loop: Loop) -> None:
-        _, held, address = await front_of(loop, 8)
+        _, handler, address = await start_frontend(loop, 8)
         client = connect(address, request("r0") + request("r1"))
-        await until(lambda: held.calls)
-        first = held.calls[0]
-        left_s = loop.time()
-        leave(client)
-        await until(lambda: not held.calls)
-        assert loop.time() - left_s < 0.3
-        first.reply(200, b"")  # nobody is there, and nobody else's turn comes
+        await until(lambda: handler.calls)
+        first = handler.calls[0]
+        disconnected_s = loop.time()
+        disconnect(client)
+        await until(lambda: not handler.calls)
+        assert loop.time() - disconnected_s < 0.3
+        first.reply(200, b"")  # ignored, and the second request is not started
         await asyncio.sleep(0.02)
-        assert not held.calls
+        assert not handler.calls
 
-    play(scene)
+    run_scene(scene)
 
 
-@WAYS
-def test_client_that_leaves_with_an_answer_unread_withdraws_what_waits(
-    leave: Callable[[socket.socket], None],
+@DISCONNECTS
+def test_disconnect_with_an_unread_answer_withdraws_queued_requests(
+    disconnect: Callable[[socket.socket], None],
 ) -> None:
-    """Its transport ends only when all is flushed, or fails to be: the next would be sent on until then."""
+    """The transport closes only once it is flushed or a write fails; queued calls must not start until
+    then."""
 
     async def scene(loop: Loop) -> None:
-        frontend, held, address = await front_of(loop, 8)
-        client = small(address, request("r0"))
-        await until(lambda: held.calls)
-        call = held.calls.pop()
+        frontend, handler, address = await start_frontend(loop, 8)
+        client = connect_with_small_buffer(address, request("r0"))
+        await until(lambda: handler.calls)
+        call = handler.calls.pop()
         connection = next(iter(frontend._connections))
         assert connection._transport is not None
-        connection._transport.set_write_buffer_limits(high=1 << 30)  # a paused one hands nothing over anyway
-        call.reply(200, MUCH * 60)
+        connection._transport.set_write_buffer_limits(
+            high=1 << 30
+        )  # with writing paused, no call would start anyway
+        call.reply(200, LARGE_BODY * 60)
         client.sendall(request("r1") + request("r2"))
-        await until(lambda: held.calls)
-        left_s = loop.time()
-        leave(client)
-        await until(lambda: not held.calls)
-        assert loop.time() - left_s < 1.0  # whoever reads nothing is ended after 3 s
-        assert not connection._waiting
+        await until(lambda: handler.calls)
+        disconnected_s = loop.time()
+        disconnect(client)
+        await until(lambda: not handler.calls)
+        assert loop.time() - disconnected_s < 1.0  # unread answers end the connection only after 3 s
+        assert not connection._queued
 
-    play(scene)
+    run_scene(scene)
 
 
-@WAYS
-def test_client_that_leaves_while_it_is_not_read_from_is_seen_to(
-    leave: Callable[[socket.socket], None],
+@DISCONNECTS
+def test_disconnect_is_detected_while_reading_is_paused(
+    disconnect: Callable[[socket.socket], None],
 ) -> None:
-    """A paused transport hears neither FIN nor RST, and the request would be sent on to a server later."""
+    """A transport with reading paused reports neither FIN nor RST; the request would still be forwarded."""
 
     async def scene(loop: Loop) -> None:
-        frontend, held, address = await front_of(loop, 8)
+        frontend, handler, address = await start_frontend(loop, 8)
         client = connect(address)
         client.setblocking(False)
         body = b"x" * 3_000_000
         head = f"POST /unsafe HTTP/1.1\r\nX-Request-ID: r0\r\nContent-Length: {len(body)}\r\n\r\n".encode()
-        frontend.keeping.budget = 0  # no part of it is held: it waits in the socket
-        # Danger: an end behind more than the socket takes in is not there to be seen before that is read.
+        frontend.buffer_budget.limit_bytes = 0  # nothing of it is buffered: it waits in the socket
+        # A FIN behind more data than fits in the receive buffer can't be detected before the data is read.
         await loop.sock_sendall(client, head + body[:100_000])
-        await until(lambda: held.calls)
-        assert next(iter(frontend._connections))._held_back
-        left_s = loop.time()
-        leave(client)
-        await until(lambda: not held.calls)
-        assert loop.time() - left_s < 0.3 + front.SWEEP_S
+        await until(lambda: handler.calls)
+        assert next(iter(frontend._connections))._reading_paused
+        disconnected_s = loop.time()
+        disconnect(client)
+        await until(lambda: not handler.calls)
+        assert loop.time() - disconnected_s < 0.3 + front.SWEEP_INTERVAL_S
 
-    play(scene)
+    run_scene(scene)
 
 
-def test_burst_that_leaves_at_once_leaves_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    # On a busy machine it takes longer to read than the loop may be behind, and a part would be refused.
-    monkeypatch.setattr(overload, "MOST_BEHIND_S", 60.0)
+def test_burst_of_disconnects_leaves_no_request_open(monkeypatch: pytest.MonkeyPatch) -> None:
+    # On a busy machine, reading takes longer than the accepted delay, and some requests would be refused.
+    monkeypatch.setattr(overload, "MAX_DELAY_S", 60.0)
 
     async def scene(loop: Loop) -> None:
-        frontend, held, address = await front_of(loop, 600)
+        frontend, handler, address = await start_frontend(loop, 600)
         clients = [connect(address, request(f"r{i}")) for i in range(200)]
-        await until(lambda: len(held.calls) == 200)
-        left_s = loop.time()
+        await until(lambda: len(handler.calls) == 200)
+        disconnected_s = loop.time()
         for i, client in enumerate(clients):
             (fin, rst, half_close)[i % 3](client)
-        await until(lambda: not held.calls)
-        assert loop.time() - left_s < 1.0
+        await until(lambda: not handler.calls)
+        assert loop.time() - disconnected_s < 1.0
         for client in clients:
             client.close()
         await until(lambda: not frontend.count)
 
-    play(scene)
+    run_scene(scene)
 
 
 # SIGTERM
 
 
-def test_drain_gives_late_requests_until_the_process_must_be_gone() -> None:
+def test_drain_limits_late_requests_to_the_end_of_the_process() -> None:
     async def scene(loop: Loop) -> None:
-        frontend, held, _ = await front_of(loop, 8)
+        frontend, handler, _ = await start_frontend(loop, 8)
         began_s = loop.time()
-        await drain(frontend, held, False, None, 1.0)  # type: ignore[arg-type]
-        from_ms, by_ms = held.leaving
-        assert from_ms / 1000 - began_s == pytest.approx(STILL_ACCEPTING_S, abs=0.05)
-        assert by_ms / 1000 - began_s == pytest.approx(1.0 - GONE_S, abs=0.05)
+        await drain(frontend, handler, False, None, 1.0)  # type: ignore[arg-type]
+        from_ms, by_ms = handler.leaving
+        assert from_ms / 1000 - began_s == pytest.approx(ACCEPT_PERIOD_S, abs=0.05)
+        assert by_ms / 1000 - began_s == pytest.approx(1.0 - EXIT_MARGIN_S, abs=0.05)
 
-    play(scene)
+    run_scene(scene)
 
 
-def test_clients_that_go_on_coming_do_not_keep_a_drain_from_its_end(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Danger: a crowd connects faster than it is accepted, and the process would be killed meanwhile."""
+def test_drain_ends_in_time_while_clients_keep_connecting(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Many clients may connect faster than they are accepted, and the process would be killed in a drain."""
 
     async def scene(loop: Loop) -> None:
-        frontend, held, _ = await front_of(loop, 8)
-        monkeypatch.setattr(frontend.listener, "accept", lambda: True)  # there are always more
+        frontend, handler, _ = await start_frontend(loop, 8)
+        monkeypatch.setattr(frontend.listener, "accept", lambda: True)  # there is always another connection
         began_s = loop.time()
-        await drain(frontend, held, False, None, 1.2)  # type: ignore[arg-type]
+        await drain(frontend, handler, False, None, 1.2)  # type: ignore[arg-type]
         assert loop.time() - began_s < 1.2
 
-    play(scene)
+    run_scene(scene)
 
 
-def test_what_comes_late_in_a_drain_is_decided_before_the_end(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Also a request that gives no time of its own; what came before keeps all of its time."""
+def test_late_request_in_a_drain_has_its_deadline_before_the_end(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Also a request without a deadline of its own; requests that arrived before keep their whole
+    deadline."""
 
     async def scene(loop: Loop) -> None:
-        node = node_with(("127.0.0.1", 9))
-        events = told(node, monkeypatch)
+        node = make_node(("127.0.0.1", 9))
+        events = record_events(node, monkeypatch)
         now_ms = loop.time() * 1000
-        node.leave(now_ms, now_ms + 400)
+        node.set_drain_deadline(now_ms, now_ms + 400)
         for timeout_ms, arrived_ms in ((2000.0, now_ms + 1), (None, now_ms + 1), (2000.0, now_ms - 1)):
             call = FakeCall(timeout_ms=timeout_ms)
             call.arrived_ms = arrived_ms
-            node.arrived(call)
+            node.call_received(call)
         deadlines = [e.deadline_ms for e in events if isinstance(e, RequestArrived)]
         assert deadlines[:2] == [now_ms + 400] * 2
         assert deadlines[2] is not None and deadlines[2] > now_ms + 1900
 
-    play(scene)
+    run_scene(scene)
 
 
-def test_what_is_half_here_at_the_end_is_refused_and_not_cut() -> None:
-    """Its last byte may come in the step of the end: then it has been taken, and an answer is owed."""
+def test_incomplete_request_at_the_end_of_a_drain_is_refused() -> None:
+    """Its last byte may arrive as the process ends: the request is complete then, and needs an answer."""
 
     async def scene(loop: Loop) -> None:
-        frontend, held, address = await front_of(loop, 8)
+        frontend, handler, address = await start_frontend(loop, 8)
         client = connect(address, request("r0")[:20])
         await until(lambda: frontend.count == 1)
-        real = Frontend.turn_away
+        real = Frontend.refuse_incomplete_requests
 
-        def turn_away(self: Frontend) -> None:
+        def refuse_incomplete_requests(self: Frontend) -> None:
             real(self)
-            client.sendall(request("r0")[20:])  # it crosses
+            client.sendall(request("r0")[20:])  # while the refusal is in flight
 
-        frontend.turn_away = turn_away.__get__(frontend)  # type: ignore[method-assign]
-        await drain(frontend, held, False, None)  # type: ignore[arg-type]
+        frontend.refuse_incomplete_requests = refuse_incomplete_requests.__get__(frontend)  # type: ignore[method-assign]
+        await drain(frontend, handler, False, None)  # type: ignore[arg-type]
         assert client.recv(1000).startswith(b"HTTP/1.1 503")
-        assert not held.calls
+        assert not handler.calls
 
-    play(scene)
+    run_scene(scene)
 
 
-def test_request_in_the_socket_at_the_last_look_is_still_taken() -> None:
+def test_request_in_the_socket_at_the_last_check_is_accepted() -> None:
     async def scene(loop: Loop) -> None:
-        frontend, held, address = await front_of(loop, 8)
+        frontend, handler, address = await start_frontend(loop, 8)
         await asyncio.sleep(0.01)
-        leaving = loop.create_task(drain(frontend, held, False, None))  # type: ignore[arg-type]
+        draining = loop.create_task(drain(frontend, handler, False, None))  # type: ignore[arg-type]
         await asyncio.sleep(0.1)
         client = connect(address)
         await until(lambda: frontend.count == 1)
-        real = Frontend.turn_away
+        real = Frontend.refuse_incomplete_requests
 
-        def turn_away(self: Frontend) -> None:
+        def refuse_incomplete_requests(self: Frontend) -> None:
             client.sendall(request("r0"))
             real(self)
 
-        frontend.turn_away = turn_away.__get__(frontend)  # type: ignore[method-assign]
-        next(iter(frontend._connections)).since_s += 60.0  # it has only just connected, whenever that is
-        await until(lambda: held.calls)
-        assert not leaving.done()
-        held.calls.pop().reply(200, b"")
+        frontend.refuse_incomplete_requests = refuse_incomplete_requests.__get__(frontend)  # type: ignore[method-assign]
+        next(iter(frontend._connections)).state_since_s += 60.0  # counts as just connected
+        await until(lambda: handler.calls)
+        assert not draining.done()
+        handler.calls.pop().reply(200, b"")
         assert client.recv(1000).startswith(b"HTTP/1.1 200")
         client.close()
-        await leaving
+        await draining
 
-    play(scene)
+    run_scene(scene)
 
 
 SHORT = {
@@ -318,8 +324,9 @@
 }
 
 
-def test_sigterm_with_hosts_that_hang_answers_all_up_to_its_end() -> None:
-    """Clients connect for 0.4 s more and ask on whatever stays open; SIGKILL would come after 1.7 s."""
+def test_sigterm_with_hanging_hosts_answers_all_requests_in_time() -> None:
+    """Clients connect for 0.4 s more and send requests on open connections; SIGKILL would follow after 1.7
+    s."""
 
     async def scene() -> None:
         discovery, host = await Discovery().start(), await Host("h0", never).start()
@@ -329,22 +336,22 @@
                 client.send("/unsafe", timeout_ms=1000)
             await host.wait(lambda: len(host.seen) >= 1)
             proxy.process.send_signal(signal.SIGTERM)
-            told_s = time.monotonic()
+            signalled_s = time.monotonic()
             await asyncio.sleep(0.35)
             late = [await proxy.client() for _ in range(3)]
-            while time.monotonic() < told_s + 0.8:
+            while time.monotonic() < signalled_s + 0.8:
                 await asyncio.sleep(0.01)
-            for client in late:  # spared as new, and far too late for a whole deadline
+            for client in late:  # kept open as new connections, but too late for a whole deadline
                 client.send("/unsafe", timeout_ms=3000)
             statuses = [(await client.read()).status for client in early]
             for client in late:
-                # On a busy machine one may be closed before it asks: then it is free to ask elsewhere.
+                # On a busy machine one may be closed before its request: the client may then retry elsewhere.
                 with suppress(asyncio.IncompleteReadError, ConnectionError):
                     statuses.append((await client.read()).status)
-            answered_s = time.monotonic() - told_s
+            answered_s = time.monotonic() - signalled_s
             assert all(status in (502, 503) for status in statuses)
             assert await proxy.ended() == 0
-            if answered_s < 4.0:  # else this machine was too busy to tell
+            if answered_s < 4.0:  # otherwise the machine was too busy to measure it
                 assert answered_s < 1.7
             for client in (*early, *late):
                 client.writer.close()
@@ -352,8 +359,8 @@
     asyncio.run(scene())
 
 
-def test_sigterm_before_the_listener_ends_in_order() -> None:
-    """By its default action the process would end as killed, in a step later with the listener open."""
+def test_sigterm_before_the_listener_opens_exits_cleanly() -> None:
+    """The default action would end the process by the signal; a moment later with the listener open."""
     code = (
         "import os, signal\n"
         "from cloverrouter.proxy import service\n"
@@ -368,7 +375,7 @@
     assert subprocess.run([sys.executable, "-c", code], env=environ, timeout=60).returncode == 0
 
 
-def test_sigterm_in_the_step_in_which_the_listener_opens_loses_nothing(tmp_path: Any) -> None:
+def test_sigterm_as_the_listener_opens_still_answers_a_request(tmp_path: Any) -> None:
     code = (
         "import asyncio, os, signal, socket\n"
         "from cloverrouter.proxy import service\n"
@@ -402,23 +409,24 @@
     environ = {**os.environ, "PROXY_CONFIG": str(config)}
     done = subprocess.run([sys.executable, "-c", code], env=environ, timeout=60, capture_output=True)
     assert done.returncode == 0
-    assert done.stdout.startswith(b"HTTP/1.1 503")  # no list is known: not ready, but answered
+    assert done.stdout.startswith(b"HTTP/1.1 503")  # not ready without a server list, but answered
 
 
-# The client's connection and a server's, in one piece
+# Client and server connections together
 
 
-@WAYS
-def test_request_whose_client_left_while_it_waited_is_not_sent_on(
-    leave: Callable[[socket.socket], None],
+@DISCONNECTS
+def test_queued_request_of_a_disconnected_client_is_not_forwarded(
+    disconnect: Callable[[socket.socket], None],
 ) -> None:
-    """It waits in the module while the one server is full, and has its turn when its client is gone."""
+    """It is queued while the only server is at its limit, and dispatched after its client has
+    disconnected."""
 
     async def scene() -> None:
         discovery, host = await Discovery().start(), await Host("h0", never).start()
         async with running(discovery, [host]) as proxy:
             busy: list[Client] = []
-            while len(busy) < 12:  # until the limit is reached, and some wait
+            while len(busy) < 12:  # until the limit is reached and some are queued
                 client = await proxy.client()
                 client.send("/unsafe")
                 busy.append(client)
@@ -429,44 +437,42 @@
             assert waiting
             for client in waiting:
                 sock = socket.socket(fileno=os.dup(client.writer.get_extra_info("socket").fileno()))
-                if leave is rst:
+                if disconnect is rst:
                     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-                if leave is half_close:
+                if disconnect is half_close:
                     sock.shutdown(socket.SHUT_WR)
                 sock.close()
-                if leave is not half_close:
+                if disconnect is not half_close:
                     client.writer.transport.abort()
             await asyncio.sleep(0.3)
             for writer in list(host.open.values()):
-                writer.write(ok())  # there is room now
+                writer.write(ok())  # frees capacity
             after = await proxy.client()
-            name = after.next_name
+            name = after.next_id
             after.send("/unsafe")
             await host.wait(lambda: any(s.message.headers["x-request-id"] == name for s in host.seen))
-            gone = {f"{id(client):x}-1" for client in waiting}
-            assert not gone & {seen.message.headers["x-request-id"] for seen in host.seen}
+            withdrawn = {f"{id(client):x}-1" for client in waiting}
+            assert not withdrawn & {seen.message.headers["x-request-id"] for seen in host.seen}
 
     asyncio.run(scene())
 
 
 @pytest.mark.parametrize("ends_in_s", [0.2, float("inf")])
-def test_newcomers_without_end_do_not_keep_a_drain_from_its_end(
-    ends_in_s: float, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    monkeypatch.setattr(listener, "ACCEPT_REST_S", 0.5)
+def test_accepting_queued_connections_ends_in_time(ends_in_s: float, monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(listener, "MAX_DRAIN_ACCEPT_S", 0.5)
 
     async def scene(loop: Loop) -> None:
-        frontend, _, _ = await front_of(loop, 8)
+        frontend, _, _ = await start_frontend(loop, 8)
         monkeypatch.setattr(frontend.listener, "accept", lambda: True)
         began_s = loop.time()
-        await frontend.accept_rest(began_s + ends_in_s)
+        await frontend.accept_queued(began_s + ends_in_s)
         assert min(ends_in_s, 0.5) <= loop.time() - began_s < min(ends_in_s, 0.5) + 1.0
 
-    play(scene)
+    run_scene(scene)
 
 
-def test_what_is_not_over_when_the_process_has_to_be_gone_is_ended_by_it() -> None:
-    """A long answer that stalls and a body that stays half sent would have it killed with them."""
+def test_streams_that_outlast_a_drain_are_closed_before_the_kill() -> None:
+    """Otherwise a stalled answer or an incomplete body would keep the process running until SIGKILL."""
 
     async def stalls(seen: Seen, writer: Any) -> None:
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n" + bytes(150_000))
@@ -484,11 +490,11 @@
             )
             await asyncio.sleep(0.1)
             proxy.signal(signal.SIGTERM)
-            told_s = time.monotonic()
+            signalled_s = time.monotonic()
             assert await proxy.ended() == 0
-            # The longest deadline and 0.7 s is when it may be killed; slack for a busy machine.
-            assert time.monotonic() - told_s < 0.3 + 0.7 + 1.0
+            # SIGKILL may follow after the longest deadline and 0.7 s; the rest is slack for a busy machine.
+            assert time.monotonic() - signalled_s < 0.3 + 0.7 + 1.0
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
-                await reads.reader.readexactly(299_000)  # its client can tell that this was not all
+                await reads.reader.readexactly(299_000)  # the client detects the truncation
 
     asyncio.run(scene())
--- a/tests/endings/test_gone.py
+++ b/tests/endings/test_gone.py
@@ -1,7 +1,7 @@
-"""No attempt begins for a client that has gone, wherever its request waits, and whatever the loop has heard.
+"""No attempt starts for a disconnected client, wherever its request waits in the proxy.
 
-`deaf` puts the client's end where a busy loop would leave it: in the kernel, unread. `stays` is the check of
-each scene: the request of a client that does not leave is sent on.
+`stop_reading_clients` leaves the client's FIN or RST unread in the kernel, as a busy event loop would.
+`stay_connected` is the control of each scene: the request of a client that stays is forwarded.
 """
 
 from __future__ import annotations
@@ -37,56 +37,56 @@
 from cloverrouter.proxy.validity import Gate
 from cloverrouter.proxy.wake import Loop
 from tests.endings.test_front import fin, half_close, rst
-from tests.http3.test_carrier import Wanted
+from tests.http3.test_carrier import StubCall
 from tests.http3.test_carrier import scene as carrier_scene
 from tests.http3.test_front import Scene
 from tests.test_upstream import FakeCall, full_listener, until
-from tests.test_wake import play
+from tests.test_wake import run_scene
 from tests.test_waking_front import connect
 
 SETTINGS = Settings(
     (
         RequestClass("unsafe", 6000, 9000, idempotency=Idempotency.UNSAFE),
-        RequestClass("keyed", 6000, 9000, idempotency=Idempotency.KEYED, repeat_window_ms=9000),
+        RequestClass("keyed", 6000, 9000, idempotency=Idempotency.KEYED, idempotency_window_ms=9000),
     ),
     limits=Limits(max_attempts=3, connect_timeout_ms=5000.0),
 )
 CLASSES = {cls.name: cls.idempotency for cls in SETTINGS.classes}
 HOSTS: list[Host] = []
-Leave = Callable[[socket.socket], None]
+Disconnect = Callable[[socket.socket], None]
 
 
-def stays(client: socket.socket) -> None:
-    """It waits on."""
+def stay_connected(client: socket.socket) -> None:
+    """Keep the connection open."""
 
 
-ALL = pytest.mark.parametrize("leave", [fin, rst, half_close, stays])
+DISCONNECTS = pytest.mark.parametrize("disconnect", [fin, rst, half_close, stay_connected])
 
 
-BEGUN: list[bytes] = []  # the heads of attempts that were handed to a connection
+STARTED_ATTEMPTS: list[bytes] = []  # heads of the attempts that were passed to a server connection
 
 
 @pytest.fixture(autouse=True)
-def noted(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Danger: a server never sees what a reset overtakes, and the attempt has begun all the same."""
-    BEGUN.clear()
+def record_attempts(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Record attempts as they start: a server doesn't see a request that is followed by a reset."""
+    STARTED_ATTEMPTS.clear()
     real = ServerConnection.send
 
     def send(self: ServerConnection, exchange: Exchange) -> None:
-        BEGUN.append(exchange.message[0])
+        STARTED_ATTEMPTS.append(exchange.message[0])
         real(self, exchange)
 
     monkeypatch.setattr(ServerConnection, "send", send)
 
 
-def begun(name: str) -> int:
-    return sum(f"X-Request-ID: {name}\r\n".encode() in head for head in BEGUN)
+def attempts_started(name: str) -> int:
+    return sum(f"X-Request-ID: {name}\r\n".encode() in head for head in STARTED_ATTEMPTS)
 
 
 @pytest.fixture(params=[0.0, 60.0], ids=["pooled", "new"])
-def out_on(request: pytest.FixtureRequest, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Attempts go out on a connection that is there, or each on a new one that has to come up."""
-    monkeypatch.setattr(server_pool, "SETTLE_S", request.param)
+def connection_mode(request: pytest.FixtureRequest, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Send attempts on pooled connections, or each on a new connection that has to be established."""
+    monkeypatch.setattr(server_pool, "REUSE_DELAY_S", request.param)
 
 
 def request(name: str, target: str = "/unsafe", length: int = 0) -> bytes:
@@ -95,20 +95,20 @@
     return f"{head}Content-Length: {length}\r\n\r\n".encode()
 
 
-def names(host: Host) -> list[str]:
+def received_ids(host: Host) -> list[str]:
     return [seen.message.headers["x-request-id"] for seen in host.seen]
 
 
-async def serving(respond: Respond = never) -> Host:
-    """Its connections end with the scene."""
+async def start_host(respond: Respond = never) -> Host:
+    """Start a host; its connections are closed at the end of the scene."""
     host = await Host("h0", respond).start()
     HOSTS.append(host)
     return host
 
 
-def played(scene: Callable[[Loop], Coroutine[Any, Any, None]]) -> None:
-    async def whole(loop: Loop) -> None:
-        HOSTS.clear()  # of a scene that failed
+def run_scene_with_cleanup(scene: Callable[[Loop], Coroutine[Any, Any, None]]) -> None:
+    async def scene_with_cleanup(loop: Loop) -> None:
+        HOSTS.clear()  # left over from a failed scene
         await scene(loop)
         while HOSTS:
             host = HOSTS.pop()
@@ -117,125 +117,127 @@
                 writer.transport.abort()
             await host.wait(lambda host=host: not host.open)  # type: ignore[misc]
 
-    play(whole)
+    run_scene(scene_with_cleanup)
 
 
-class Whole:
-    """Front, loop round the module and hosts' side, without the process."""
+class InProcessProxy:
+    """The proxy's frontend, node and upstream in the event loop of the test."""
 
     def __init__(self, address: tuple[str, int], settings: Settings = SETTINGS) -> None:
         self.upstream = Upstream(64, 60_000, settings.limits.connect_timeout_ms)
         self.node = Node(settings, 1, self.upstream, lambda: None, lambda e: pytest.fail(repr(e)))
         self.node.listed(ListKind.RESTORED, HostList(1, True, (HostEntry(ListedEndpoint("h0"), address),)))
-        self.front = Frontend(Gate(self.node, CLASSES, asyncio.get_running_loop().time), 64)
+        self.frontend = Frontend(Gate(self.node, CLASSES, asyncio.get_running_loop().time), 64)
 
     async def listen(self) -> tuple[str, int]:
-        return await self.front.listen(("127.0.0.1", 0))
+        return await self.frontend.listen(("127.0.0.1", 0))
 
-    def deaf(self) -> None:
-        """The loop has no turn to read what its clients do from here on."""
-        for connection in self.front._connections:
+    def stop_reading_clients(self) -> None:
+        """Leave everything that clients send or close from now on unread in the kernel."""
+        for connection in self.frontend._connections:
             assert connection._transport is not None
             connection._transport.pause_reading()
 
-    async def fill(self, host: Host) -> None:
-        """All further requests wait in the module."""
+    async def saturate(self, host: Host) -> None:
+        """Send requests until the concurrency limit is reached, so that further ones are queued."""
         for i in range(16):
             call = FakeCall(timeout_ms=8000)
             call.request_id = b"b%d" % i
-            self.node.arrived(call)
+            self.node.call_received(call)
         await host.wait(lambda: bool(host.seen))
         await asyncio.sleep(0.05)
         assert len(host.seen) < 16
 
-    async def settled(self, host: Host) -> None:
-        """All that was to be sent on before now has been: a request behind it has come through."""
+    async def wait_for_earlier_sends(self, host: Host) -> None:
+        """Wait until everything queued so far has been sent: a request sent after it has reached the host."""
         call = FakeCall(timeout_ms=8000)
         call.request_id = name = b"s%d" % len(host.seen)
-        self.node.arrived(call)
+        self.node.call_received(call)
         async with asyncio.timeout(10):
-            while not call.given or name.decode() not in names(host):
+            while not call.given or name.decode() not in received_ids(host):
                 for writer in list(host.open.values()):
                     writer.write(ok())
                 await asyncio.sleep(0.005)
 
 
-@ALL
-@pytest.mark.usefixtures("out_on")
+@DISCONNECTS
+@pytest.mark.usefixtures("connection_mode")
 @pytest.mark.parametrize("step_s", [0.0, 0.15], ids=["short step", "long step"])
-def test_gone_before_its_request_was_read(leave: Leave, step_s: float) -> None:
-    """Request and end lie in the kernel as the loop comes back to its sockets."""
+def test_client_disconnects_before_its_request_is_read(disconnect: Disconnect, step_s: float) -> None:
+    """Both the request and the disconnect are in the kernel when the event loop polls its sockets again."""
 
     async def scene(loop: Loop) -> None:
-        host = await serving()
-        whole = Whole(("127.0.0.1", host.port))
-        address = await whole.listen()
-        await whole.settled(host)
+        host = await start_host()
+        proxy = InProcessProxy(("127.0.0.1", host.port))
+        address = await proxy.listen()
+        await proxy.wait_for_earlier_sends(host)
         client = connect(address, request("r0"))
-        leave(client)
+        disconnect(client)
         behind = connect(address, request("r1"))
         time.sleep(step_s)
-        await host.wait(lambda: "r1" in names(host))
-        await whole.settled(host)
+        await host.wait(lambda: "r1" in received_ids(host))
+        await proxy.wait_for_earlier_sends(host)
         behind.close()
-        assert begun("r0") == (leave is stays)
+        assert attempts_started("r0") == (disconnect is stay_connected)
 
-    played(scene)
+    run_scene_with_cleanup(scene)
 
 
-@ALL
-@pytest.mark.parametrize("length", [0, 100_000], ids=["whole", "held back"])
-@pytest.mark.usefixtures("out_on")
-def test_gone_while_it_waits_in_the_module(leave: Leave, length: int) -> None:
+@DISCONNECTS
+@pytest.mark.parametrize("length", [0, 100_000], ids=["no body", "streamed body"])
+@pytest.mark.usefixtures("connection_mode")
+def test_client_disconnects_while_its_request_is_queued(disconnect: Disconnect, length: int) -> None:
     async def scene(loop: Loop) -> None:
-        host = await serving()
-        whole = Whole(("127.0.0.1", host.port))
-        whole.front.keeping.budget = 0  # no part of a long body is held: the front does not read on
-        address = await whole.listen()
-        await whole.fill(host)
+        host = await start_host()
+        proxy = InProcessProxy(("127.0.0.1", host.port))
+        proxy.frontend.buffer_budget.limit_bytes = (
+            0  # nothing of a long body is buffered: the frontend stops reading
+        )
+        address = await proxy.listen()
+        await proxy.saturate(host)
         client = connect(address)
         client.setblocking(False)
         await loop.sock_sendall(client, request("r0", length=length) + b"x" * length)
-        await until(lambda: whole.node.is_open(b"r0"))
+        await until(lambda: proxy.node.is_open(b"r0"))
         if not length:
-            whole.deaf()
-        leave(client)
-        await whole.settled(host)
-        if length and leave is stays:  # its body is read on as its turn has come
-            await host.wait(lambda: "r0" in names(host))
-        assert begun("r0") == (leave is stays)
+            proxy.stop_reading_clients()
+        disconnect(client)
+        await proxy.wait_for_earlier_sends(host)
+        if length and disconnect is stay_connected:  # reading of its body resumes once it is dispatched
+            await host.wait(lambda: "r0" in received_ids(host))
+        assert attempts_started("r0") == (disconnect is stay_connected)
 
-    played(scene)
+    run_scene_with_cleanup(scene)
 
 
-@ALL
-@pytest.mark.usefixtures("out_on")
-def test_gone_while_it_waits_behind_another_on_its_connection(leave: Leave) -> None:
+@DISCONNECTS
+@pytest.mark.usefixtures("connection_mode")
+def test_client_disconnects_while_its_request_waits_behind_another(disconnect: Disconnect) -> None:
     async def scene(loop: Loop) -> None:
-        host = await serving()
-        whole = Whole(("127.0.0.1", host.port))
-        client = connect(await whole.listen(), request("r0") + request("r1"))
-        await host.wait(lambda: names(host) == ["r0"])
-        whole.deaf()
-        leave(client)
+        host = await start_host()
+        proxy = InProcessProxy(("127.0.0.1", host.port))
+        client = connect(await proxy.listen(), request("r0") + request("r1"))
+        await host.wait(lambda: received_ids(host) == ["r0"])
+        proxy.stop_reading_clients()
+        disconnect(client)
         next(iter(host.open.values())).write(ok())
-        await until(lambda: not whole.node.is_open(b"r0"))
-        await whole.settled(host)
-        assert begun("r1") == (leave is stays)
+        await until(lambda: not proxy.node.is_open(b"r0"))
+        await proxy.wait_for_earlier_sends(host)
+        assert attempts_started("r1") == (disconnect is stay_connected)
 
-    played(scene)
+    run_scene_with_cleanup(scene)
 
 
-@ALL
-def test_gone_while_its_connection_comes_up(leave: Leave) -> None:
+@DISCONNECTS
+def test_client_disconnects_while_a_server_connection_is_established(disconnect: Disconnect) -> None:
     async def scene(loop: Loop) -> None:
         listener, fillers = full_listener()
-        whole = Whole(listener.getsockname())
-        client = connect(await whole.listen(), request("r0"))
-        await until(lambda: whole.upstream._opening)
+        proxy = InProcessProxy(listener.getsockname())
+        client = connect(await proxy.listen(), request("r0"))
+        await until(lambda: proxy.upstream._connecting)
         await asyncio.sleep(0.02)
-        whole.deaf()
-        leave(client)
+        proxy.stop_reading_clients()
+        disconnect(client)
         for filler in fillers:
             filler.close()
         listener.listen(64)
@@ -255,170 +257,173 @@
                 got += piece
 
         tasks = [loop.create_task(accept())]
-        await until(lambda: whole.upstream.connections)  # it is up
-        await until(lambda: not whole.upstream._opening)
+        await until(lambda: proxy.upstream.connections)  # it is established
+        await until(lambda: not proxy.upstream._connecting)
         await asyncio.sleep(0.05)
-        assert (b"X-Request-ID: r0" in got) is (leave is stays)
-        assert begun("r0") == (leave is stays)
+        assert (b"X-Request-ID: r0" in got) is (disconnect is stay_connected)
+        assert attempts_started("r0") == (disconnect is stay_connected)
         for task in tasks:
             task.cancel()
         listener.close()
 
-    played(scene)
+    run_scene_with_cleanup(scene)
 
 
-@ALL
-def test_gone_while_it_waits_to_be_tried_again(leave: Leave) -> None:
+@DISCONNECTS
+def test_client_disconnects_before_a_retry(disconnect: Disconnect) -> None:
     async def scene(loop: Loop) -> None:
-        left = False
+        disconnected = False
 
         async def respond(seen: Seen, writer: Any) -> None:
-            nonlocal left
+            nonlocal disconnected
             name = seen.message.headers["x-request-id"]
-            if name == "r0" and not left:
-                whole.deaf()
-                leave(client)
-                left = True
+            if name == "r0" and not disconnected:
+                proxy.stop_reading_clients()
+                disconnect(client)
+                disconnected = True
                 writer.transport.abort()
             elif name != "r0":
                 writer.write(ok())
 
-        host = await serving(respond)
-        whole = Whole(("127.0.0.1", host.port))
-        client = connect(await whole.listen(), request("r0", "/keyed"))
-        await until(lambda: left)
-        await until(lambda: not whole.node.is_open(b"r0") or begun("r0") > 1)
-        await whole.settled(host)
-        assert begun("r0") == (2 if leave is stays else 1)
+        host = await start_host(respond)
+        proxy = InProcessProxy(("127.0.0.1", host.port))
+        client = connect(await proxy.listen(), request("r0", "/keyed"))
+        await until(lambda: disconnected)
+        await until(lambda: not proxy.node.is_open(b"r0") or attempts_started("r0") > 1)
+        await proxy.wait_for_earlier_sends(host)
+        assert attempts_started("r0") == (2 if disconnect is stay_connected else 1)
 
-    played(scene)
+    run_scene_with_cleanup(scene)
 
 
-@ALL
-@pytest.mark.parametrize("at", [0, 1], ids=["first", "further"])
-@pytest.mark.usefixtures("out_on")
-def test_gone_in_the_step_in_which_its_attempt_begins(leave: Leave, at: int) -> None:
-    """Between the module's choice and the attempt."""
+@DISCONNECTS
+@pytest.mark.parametrize("at", [0, 1], ids=["first", "retry"])
+@pytest.mark.usefixtures("connection_mode")
+def test_client_disconnects_right_before_its_attempt_starts(disconnect: Disconnect, at: int) -> None:
+    """The client disconnects between the balancer's choice and the start of the attempt."""
 
     async def scene(loop: Loop) -> None:
         async def respond(seen: Seen, writer: Any) -> None:
-            if seen.message.headers["x-request-id"] == "r0" and names(host).count("r0") == 1:
+            if seen.message.headers["x-request-id"] == "r0" and received_ids(host).count("r0") == 1:
                 writer.transport.abort()
             else:
                 writer.write(ok())
 
-        host = await serving(respond)
-        whole = Whole(("127.0.0.1", host.port))
+        host = await start_host(respond)
+        proxy = InProcessProxy(("127.0.0.1", host.port))
         began = 0
-        real = whole.node._send
+        real = proxy.node._send
 
         def send(action: Send) -> None:
             nonlocal began
             if action.request_id == 2:
                 if began == at:
-                    whole.deaf()
-                    leave(client)
+                    proxy.stop_reading_clients()
+                    disconnect(client)
                 began += 1
             real(action)
 
-        whole.node._send = send  # type: ignore[method-assign]
-        await whole.settled(host)
-        client = connect(await whole.listen(), request("r0", "/keyed"))
+        proxy.node._send = send  # type: ignore[method-assign]
+        await proxy.wait_for_earlier_sends(host)
+        client = connect(await proxy.listen(), request("r0", "/keyed"))
         await until(lambda: began > at)
-        if leave is stays:
-            await host.wait(lambda: names(host).count("r0") > at)
-        await whole.settled(host)
-        assert begun("r0") > at if leave is stays else begun("r0") == at
-        if leave is not stays:  # it is withdrawn, and not tried again
-            assert not whole.node.is_open(b"r0") and began == at + 1
+        if disconnect is stay_connected:
+            await host.wait(lambda: received_ids(host).count("r0") > at)
+        await proxy.wait_for_earlier_sends(host)
+        assert attempts_started("r0") > at if disconnect is stay_connected else attempts_started("r0") == at
+        if disconnect is not stay_connected:  # withdrawn, and not retried
+            assert not proxy.node.is_open(b"r0") and began == at + 1
 
-    played(scene)
+    run_scene_with_cleanup(scene)
 
 
-# HTTP/3: a reset is a datagram, and may lie behind others
+# HTTP/3: a stream reset is a datagram and may be queued behind others
 
 
-@pytest.mark.parametrize("way", ["cancelled", "stop_sending", "closed", "stays"])
-def test_http3_client_gone_behind_many_datagrams(tmp_path: Path, way: str) -> None:
-    """They came while the loop was away. A timer that is due, or the module as it is told of the gap, would
-    begin an attempt before they are read."""
+@pytest.mark.parametrize("client_end", ["cancelled", "stop_sending", "closed", "connected"])
+def test_http3_client_disconnects_behind_many_datagrams(tmp_path: Path, client_end: str) -> None:
+    """The datagrams arrive during a process pause. A timer that is due, or the balancer when it is notified
+    of the pause, would start an attempt before they are read."""
 
     async def scene(loop: Loop) -> None:
-        at_gap, at_timer = list[bool](), list[bool]()
+        at_pause, at_timer = list[bool](), list[bool]()
         s = Scene(tmp_path)
-        loop.wake.on_gap.append(lambda gap: at_gap.append(bool(s.handler.left)))  # in the place of the module
+        loop.pause_detector.on_pause.append(
+            lambda pause: at_pause.append(bool(s.handler.disconnected_calls))
+        )  # takes the place of the balancer
         s.address = s.front.listen(("127.0.0.1", 0))
         s.handler.answer = None
         client = await s.client("aioquic")
         number = client.send("/unsafe")
         await until(lambda: len(s.handler.calls) == 1)
         await asyncio.sleep(0.1)
-        at_gap.clear()
-        loop.call_later(0.05, lambda: at_timer.append(bool(s.handler.left)))
-        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as noise:
-            for _ in range(3 * http3.READ_AT_ONCE):
-                noise.sendto(b"noise", s.address)
-        if way == "cancelled":
+        at_pause.clear()
+        loop.call_later(0.05, lambda: at_timer.append(bool(s.handler.disconnected_calls)))
+        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender:
+            for _ in range(3 * http3.MAX_READS_AT_ONCE):
+                sender.sendto(b"noise", s.address)
+        if client_end == "cancelled":
             client.cancel(number)
-        elif way == "stop_sending":
+        elif client_end == "stop_sending":
             client.quic.stop_stream(number, 0x10C)
-        if way == "closed":
+        if client_end == "closed":
             client.close()
         else:
             client.flush()
-        time.sleep(0.15)  # no step of the loop lies within
+        time.sleep(0.15)  # blocks the event loop
         await until(lambda: at_timer)
-        assert at_gap[0] is at_timer[0] is (way != "stays")
+        assert at_pause[0] is at_timer[0] is (client_end != "connected")
         for opened in s.clients:
             opened.close()
         await s.front.close()
 
-    played(scene)
+    run_scene_with_cleanup(scene)
 
 
-def test_http3_reads_on_where_datagrams_have_waited(monkeypatch: pytest.MonkeyPatch, tmp_path: Path) -> None:
-    """With no gap, but more coming than is read at once: what has waited for a while is caught up."""
+def test_http3_reads_all_datagrams_that_have_waited(monkeypatch: pytest.MonkeyPatch, tmp_path: Path) -> None:
+    """Without a pause, more datagrams arrive than one read takes; those that have waited too long are all
+    read."""
 
     async def scene(loop: Loop) -> None:
         s = Scene(tmp_path)
         s.address = s.front.listen(("127.0.0.1", 0))
-        taken = 0
+        accepted = 0
         real = s.front._take
 
         def take(data: bytes, address: Any) -> Any:
-            nonlocal taken
-            taken += 1
+            nonlocal accepted
+            accepted += 1
             return real(data, address)
 
         monkeypatch.setattr(s.front, "_take", take)
-        count = 20 * http3.READ_AT_ONCE
-        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as noise:
+        count = 20 * http3.MAX_READS_AT_ONCE
+        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender:
             for _ in range(count):
-                noise.sendto(b"noise", s.address)
+                sender.sendto(b"noise", s.address)
         s.front._read()
-        assert taken == http3.READ_AT_ONCE  # the others have their turn
-        assert s.front._behind_s is not None
-        s.front._behind_s -= 2 * http3.BEHIND_S
+        assert accepted == http3.MAX_READS_AT_ONCE  # other sockets have their turn
+        assert s.front._backlog_since_s is not None
+        s.front._backlog_since_s -= 2 * http3.MAX_READ_DELAY_S
         s.front._read()
-        assert taken == count
+        assert accepted == count
         await s.front.close()
 
-    played(scene)
+    run_scene_with_cleanup(scene)
 
 
-class Left(Wanted):
-    """A call whose client leaves while a connection comes up."""
+class DisconnectedCall(StubCall):
+    """A call whose client disconnects while a connection is being established."""
 
-    def left(self) -> bool:
+    def is_disconnected(self) -> bool:
         return True
 
 
-def test_http3_attempt_that_waited_for_its_connection_does_not_begin(tmp_path: Path) -> None:
+def test_http3_attempt_of_a_disconnected_client_does_not_start(tmp_path: Path) -> None:
     async def run() -> None:
         async with carrier_scene(tmp_path) as s:
             host = await s.host()
-            gone, other = s.send(host, Left()), s.send(host)  # they wait for one connection
-            assert await s.ended(gone, other) == [Outcome.NOT_SENT, Outcome.OK]
-            assert len(host.begun) == 1
+            cancelled, other = s.send(host, DisconnectedCall()), s.send(host)  # both wait for one connection
+            assert await s.ended(cancelled, other) == [Outcome.NOT_SENT, Outcome.OK]
+            assert len(host.started) == 1
 
     asyncio.run(run())
--- a/tests/endings/test_hosts.py
+++ b/tests/endings/test_hosts.py
@@ -1,4 +1,4 @@
-"""The end of an attempt at a server in the step in which something else ends: answer, time, drain."""
+"""Attempts that end in the same loop iteration as an answer, a timeout or a drain."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from cloverrouter.proxy.upstream import Upstream
 from cloverrouter.proxy.wake import Loop
 from tests.test_upstream import FakeCall, full_listener, until
-from tests.test_wake import node_with, play
+from tests.test_wake import make_node, run_scene
 
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nothers"
 SHORT = {
@@ -27,8 +27,8 @@
 }  # fmt: skip
 
 
-def test_answer_ahead_of_the_requests_last_byte_is_not_served() -> None:
-    """It can only be the former request's second one: a host begins when the last byte has come."""
+def test_answer_before_the_last_byte_of_its_request_is_not_served() -> None:
+    """It can only be a second answer to the previous request: a host starts after the last byte."""
 
     async def scene(loop: Loop) -> None:
         listener = socket.create_server(("127.0.0.1", 0))
@@ -37,7 +37,7 @@
         ends: list[tuple[Outcome, Answer | None]] = []
         host = ("h", listener.getsockname()[:2])
         upstream.keep_only({host})
-        call = FakeCall(b"z" * 8_000_000)  # more than the sockets between take in
+        call = FakeCall(b"z" * 8_000_000)  # more than the socket buffers hold
         exchange = upstream.send(host, call, 5000, lambda outcome, answer: ends.append((outcome, answer)))
         listener.setblocking(False)
         sock, _ = await loop.sock_accept(listener)
@@ -45,16 +45,16 @@
         assert not exchange.written
         await loop.sock_sendall(sock, OK)
         await until(lambda: ends)
-        assert ends == [(Outcome.CONNECT_FAILED, None)]  # and it has never run
+        assert ends == [(Outcome.CONNECT_FAILED, None)]  # it never ran
         await until(lambda: not upstream.open)
 
-    play(scene)
+    run_scene(scene)
 
 
 @pytest.mark.parametrize(
     "respond",
     [
-        raw(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\npart"),  # and no end
+        raw(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\npart"),  # incomplete
         raw(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\npart"),
         raw(b"HTTP/1.1 200 OK\r\nContent-Le"),
         raw(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\npart", close=True),
@@ -62,8 +62,10 @@
     ],
 )
 @pytest.mark.parametrize("target", ["/unsafe", "/keyed"])
-def test_answer_without_end_or_spoilt_is_no_refusal_at_the_deadline(respond: Respond, target: str) -> None:
-    """It may have run: the unsafe one goes nowhere else, the keyed one only to its cell, and neither is
+def test_incomplete_or_malformed_answer_is_a_failure_and_no_refusal_at_the_deadline(
+    respond: Respond, target: str
+) -> None:
+    """The request may have run: an unsafe one is not retried, a keyed one only in its cell, and neither is
     refused."""
 
     async def scene() -> None:
@@ -76,25 +78,25 @@
             client = await proxy.client()
             client.send(target, timeout_ms=600)
             assert (await client.read()).status == 502
-            places = [host.name for host in hosts for _ in host.seen]
-            assert len(set(places)) == 1
-            assert target == "/keyed" or len(places) == 1
+            names = [host.name for host in hosts for _ in host.seen]
+            assert len(set(names)) == 1
+            assert target == "/keyed" or len(names) == 1
 
     asyncio.run(scene())
 
 
 @pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.GONE, EndpointState.READY])
-def test_connection_that_comes_up_after_its_servers_drain_or_move_carries_nothing(
+def test_connection_established_after_a_drain_or_address_change_carries_no_request(
     state: EndpointState,
 ) -> None:
-    """The list is told while the connection is on its way; `READY`: the same name at another address."""
+    """The list arrives during the connect; `READY`: the same name at another address."""
 
     async def scene(loop: Loop) -> None:
         listener, fillers = full_listener()
-        node = node_with(listener.getsockname())
+        node = make_node(listener.getsockname())
         call = FakeCall(timeout_ms=3000)
         call.arrived_ms = loop.time() * 1000
-        node.arrived(call)
+        node.call_received(call)
         await asyncio.sleep(0.05)
         address = ("127.0.0.1", 9) if state is EndpointState.READY else None
         entry = HostEntry(ListedEndpoint("h", state=state), address)
@@ -102,8 +104,8 @@
         for filler in fillers:
             filler.close()
         listener.setblocking(False)
-        got = b""
-        for _ in range(40):  # whatever comes up says nothing
+        received = b""
+        for _ in range(40):  # no accepted connection receives data
             try:
                 sock, _ = listener.accept()
             except BlockingIOError:
@@ -111,28 +113,28 @@
                 continue
             sock.settimeout(0.05)
             with suppress(TimeoutError, ConnectionError):
-                got += sock.recv(1000)
-        assert got == b""
+                received += sock.recv(1000)
+        assert received == b""
         listener.close()
 
-    play(scene)
+    run_scene(scene)
 
 
-def test_time_out_in_the_step_in_which_the_answer_is_read_gives_one_final_answer() -> None:
+def test_timeout_in_the_iteration_that_reads_the_answer_gives_one_final_answer() -> None:
     async def scene(loop: Loop) -> None:
         listener = socket.create_server(("127.0.0.1", 0))
         listener.setblocking(False)
-        node = node_with(listener.getsockname()[:2])
+        node = make_node(listener.getsockname()[:2])
         call = FakeCall(timeout_ms=3000)
         call.arrived_ms = loop.time() * 1000
-        node.arrived(call)
+        node.call_received(call)
         sock, _ = await loop.sock_accept(listener)
         sock.setblocking(False)
         await loop.sock_recv(sock, 65536)
         request = next(iter(node._requests.values()))
-        attempt = next(iter(request.out.values()))
-        sock.send(OK)  # it lies in our socket
-        node._timed_out(attempt)  # and its time is over, in the same step
+        attempt = next(iter(request.attempts.values()))
+        sock.send(OK)  # now in the proxy's socket
+        node._timed_out(attempt)  # the timeout, in the same iteration
         await asyncio.sleep(0.05)
         assert len(call.given) == 1
         assert not node._requests and not node.busy
@@ -140,4 +142,4 @@
         sock.close()
         listener.close()
 
-    play(scene)
+    run_scene(scene)
--- a/tests/endings/test_settings.py
+++ b/tests/endings/test_settings.py
@@ -1,6 +1,6 @@
-"""The end of one set of settings: requests in flight keep what they came under, nothing is left over.
+"""Replacing settings: requests in flight keep those under which they arrived, and no old state remains.
 
-Each setting is applied or named in the log; a file that can't be used changes nothing.
+Each setting is applied, or named in the log; a file that can't be used changes nothing.
 """
 
 from __future__ import annotations
@@ -19,9 +19,9 @@
     EndpointState,
     Fail,
     Idempotency,
+    IdempotencyScope,
     ListedEndpoint,
     Outcome,
-    RepeatScope,
     RequestArrived,
     RequestClass,
     Send,
@@ -29,59 +29,61 @@
     SettingsChanged,
 )
 from cloverrouter.lab.peers import Discovery, Host, Proxy, ok, raw, reset, running
-from cloverrouter.proxy.config import kept, missing, read_settings
-from cloverrouter.proxy.validity import FORMER_S, Gate, Head, ParsedCall
+from cloverrouter.proxy.config import first_missing_key, read_settings, unapplied_changes
+from cloverrouter.proxy.validity import PREVIOUS_CLASSES_S, Gate, Head, ParsedCall
 from cloverrouter.proxy.wake import Loop
 from cloverrouter.values import replace
 from tests.driver import Driver, delta, full
 from tests.test_retune import change, classes
 from tests.test_upstream import FakeCall
-from tests.test_wake import node_with, play, told
-from tests.test_waking_front import Held
+from tests.test_wake import make_node, record_events, run_scene
+from tests.test_waking_front import StubHandler
 
 Json = dict[str, Any]
 SITES = Path(__file__).resolve().parents[2] / "deploy" / "sites"
 
 
-def in_force(count: int) -> Callable[[Proxy], bool]:
+def reloads_logged(count: int) -> Callable[[Proxy], bool]:
     return lambda proxy: proxy.log().count("from now on") >= count
 
 
-async def settled(proxy: Proxy, done: Callable[[Proxy], bool]) -> None:
+async def wait_until(proxy: Proxy, done: Callable[[Proxy], bool]) -> None:
     until_s = time.monotonic() + 20
     while not done(proxy):
         assert proxy.up and time.monotonic() < until_s, proxy.log()[-2000:]
         await asyncio.sleep(0.01)
 
 
-class Posted(ParsedCall):
+class PostedCall(ParsedCall):
     def reply(self, status: int, body: bytes, content_type: bytes = b"", retry_after: bytes = b"") -> None:
-        raise AssertionError("nobody answers here")
+        raise AssertionError("this call gets no answer")
 
 
-def test_former_classes_of_the_front_are_those_of_the_module() -> None:
+def test_previous_classes_of_the_frontend_match_those_of_the_decisions() -> None:
     """x was unsafe two changes ago and is keyed since one; only its deadline changed then."""
     at_s = 0.0
-    gate = Gate(Held(), {"x": Idempotency.UNSAFE}, lambda: at_s)
+    gate = Gate(StubHandler(), {"x": Idempotency.UNSAFE}, lambda: at_s)
     head = Head()
     head.add(b"x-request-id", b"1")
     head.add(b"content-length", b"0")
-    call = Posted(b"POST", b"/x", head, b"")  # with no key, as an unsafe one has none
-    gate.reclass({"x": Idempotency.KEYED})
-    assert gate.check(call, head) == 0 and gate.still_valid(call) and call.former
-    gate.reclass({"x": Idempotency.KEYED})
-    assert gate.check(call, head) == 400  # the module's former x has a key by now
-    at_s = FORMER_S + 1
+    call = PostedCall(b"POST", b"/x", head, b"")  # with no key, as an unsafe one has none
+    gate.update_classes({"x": Idempotency.KEYED})
+    assert gate.check(call, head) == 0 and gate.revalidate(call) and call.fits_previous_classes
+    gate.update_classes({"x": Idempotency.KEYED})
+    assert gate.check(call, head) == 400  # the previous x of the decisions is keyed by now
+    at_s = PREVIOUS_CLASSES_S + 1
 
 
-def test_a_call_valid_two_changes_ago_is_not_repeated_without_a_key() -> None:
+def test_call_valid_two_changes_ago_is_not_retried_without_a_key() -> None:
     async def scene() -> None:
         discovery, hosts = await Discovery().start(), [await Host(f"h{i}", reset).start() for i in range(2)]
         async with running(discovery, hosts) as proxy:
-            change(proxy, lambda told: classes(told)[2].update(effect="dedup", group="all", window_ms=3000))
-            await settled(proxy, in_force(1))
-            change(proxy, lambda told: classes(told)[2].update(deadline_ms=2900))
-            await settled(proxy, in_force(2))
+            change(
+                proxy, lambda fields: classes(fields)[2].update(effect="dedup", group="all", window_ms=3000)
+            )
+            await wait_until(proxy, reloads_logged(1))
+            change(proxy, lambda fields: classes(fields)[2].update(deadline_ms=2900))
+            await wait_until(proxy, reloads_logged(2))
             client = await proxy.client()
             client.send("/unsafe")  # no key
             assert (await client.read()).status != 503
@@ -90,22 +92,25 @@
     asyncio.run(scene())
 
 
-def test_what_waits_to_be_handed_over_keeps_its_class(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Some milliseconds after a stop: found valid by the former classes, it is judged by these."""
+def test_call_that_waits_after_a_pause_keeps_its_class(monkeypatch: pytest.MonkeyPatch) -> None:
+    """It was validated by the previous classes: it must reach the decisions before the new ones do.
+
+    Calls wait for some milliseconds after a process pause.
+    """
 
     async def scene(loop: Loop) -> None:
-        node = node_with(("127.0.0.1", 9))
-        events = told(node, monkeypatch)
+        node = make_node(("127.0.0.1", 9))
+        events = record_events(node, monkeypatch)
         call = FakeCall(timeout_ms=2000)
-        call.late, call.arrived_ms = True, loop.time() * 1000
-        node.arrived(call)
+        call.is_delayed, call.arrived_ms = True, loop.time() * 1000
+        node.call_received(call)
         assert node.in_flight == 1 and not events
-        keyed = RequestClass("unsafe", 1500, 3000, idempotency=Idempotency.KEYED, repeat_window_ms=3000)
-        node.resettle(Settings((keyed,)))
+        keyed = RequestClass("unsafe", 1500, 3000, idempotency=Idempotency.KEYED, idempotency_window_ms=3000)
+        node.apply_settings(Settings((keyed,)))
         kinds = [type(e) for e in events if isinstance(e, RequestArrived | SettingsChanged)]
         assert kinds == [RequestArrived, SettingsChanged]
 
-    play(scene)
+    run_scene(scene)
 
 
 KEYED_CELL = RequestClass(
@@ -113,37 +118,37 @@
     1500,
     3000,
     idempotency=Idempotency.KEYED,
-    repeat_scope=RepeatScope.CELL,
-    repeat_window_ms=3000,
+    idempotency_scope=IdempotencyScope.CELL,
+    idempotency_window_ms=3000,
 )
 
 
-def test_open_request_keeps_scope_window_and_effect_of_its_own_class() -> None:
+def test_open_request_keeps_scope_window_and_effect_of_its_class() -> None:
     driver = Driver(Settings((KEYED_CELL,)))
-    driver.tell(full(*(ListedEndpoint(f"h{i}", cell=i) for i in range(2))))
+    driver.dispatch(full(*(ListedEndpoint(f"h{i}", cell=i) for i in range(2))))
     number, actions = driver.request("keyed")
     assert any(isinstance(a, Send) for a in actions)
-    wide = replace(KEYED_CELL, repeat_scope=RepeatScope.ALL, repeat_window_ms=9000)
-    driver.tell(SettingsChanged(Settings((wide,))))
+    wide = replace(KEYED_CELL, idempotency_scope=IdempotencyScope.ALL, idempotency_window_ms=9000)
+    driver.dispatch(SettingsChanged(Settings((wide,))))
     actions = driver.end(number, Outcome.RESET) + driver.wait(2900)
     sent = {a.endpoint for a in actions if isinstance(a, Send)}
-    first = next(iter(driver_first(driver, number)))
-    assert sent <= {first}  # the other is in another cell, which has not heard of the key
+    first = next(iter(first_endpoint(driver, number)))
+    assert sent <= {first}  # the other server is in another cell, where the key is unknown
 
 
-def driver_first(driver: Driver, number: int) -> list[str]:
+def first_endpoint(driver: Driver, number: int) -> list[str]:
     request = driver.balancer.requests.get(number)
     return [a.endpoint.listed.name for a in request.attempts[:1]] if request else ["h0"]
 
 
-def test_repeat_keeps_to_the_cell_that_its_server_was_in_when_it_was_sent() -> None:
-    """The list moves the server to another cell meanwhile: those there have not heard of the key."""
+def test_retry_stays_in_the_cell_of_its_server_at_the_time_of_sending() -> None:
+    """The list then moves the server to another cell, whose servers do not know the key."""
     for _ in range(8):
         driver = Driver(Settings((KEYED_CELL,)))
-        driver.tell(full(ListedEndpoint("home", cell=1)))
+        driver.dispatch(full(ListedEndpoint("home", cell=1)))
         number, actions = driver.request("keyed")
         assert [a.endpoint for a in actions if isinstance(a, Send)] == ["home"]
-        driver.tell(
+        driver.dispatch(
             delta(
                 ListedEndpoint("home", cell=2, state=EndpointState.DRAINING),
                 ListedEndpoint("stranger", cell=2),
@@ -154,11 +159,11 @@
         assert any(isinstance(a, Fail) for a in actions)
 
 
-# The file
+# Reloading the file
 
 
-def test_new_set_of_classes_is_taken_with_its_new_discovery() -> None:
-    """All former ones are keyed: that a safe one has no window is no loss."""
+def test_new_classes_are_applied_with_a_new_discovery_address() -> None:
+    """All previous classes are keyed: the new one needs no window, so none counts as missing."""
 
     async def scene() -> None:
         old, new = await Discovery().start(), await Discovery().start()
@@ -169,12 +174,12 @@
             new.entries["h"] = host.entry()
             safe = {"name": "look", "aim_ms": 900, "deadline_ms": 1900, "effect": "fragile", "worth": 1}
 
-            def edit(told: Json) -> None:
-                told["settings"]["categories"] = [safe]
-                told["discovery"] = f"127.0.0.1:{new.port}"
+            def edit(fields: Json) -> None:
+                fields["settings"]["categories"] = [safe]
+                fields["discovery"] = f"127.0.0.1:{new.port}"
 
             change(proxy, edit)
-            await new.asked(1)
+            await new.wait_for_calls(1)
             client = await proxy.client()
             assert (await client.ask("/look")).status == 200
 
@@ -182,35 +187,35 @@
 
 
 @pytest.mark.parametrize(
-    ("now", "lost"),
+    ("now", "missing"),
     [
-        ({"name": "a", "effect": "fragile"}, None),  # another effect now
+        ({"name": "a", "effect": "fragile"}, None),  # the effect changed
         ({"name": "b", "effect": "dedup"}, None),  # another class
-        ({"name": "a", "effect": "dedup", "group": "all"}, "c[0].window_ms"),  # the same, and cut
+        ({"name": "a", "effect": "dedup", "group": "all"}, "c[0].window_ms"),  # the same class, truncated
     ],
 )
-def test_what_only_an_effect_needs_is_asked_for_where_the_class_still_has_it(
-    now: Json, lost: str | None
+def test_key_that_only_one_effect_needs_is_required_while_the_class_has_it(
+    now: Json, missing: str | None
 ) -> None:
     before = [{"name": "a", "effect": "dedup", "group": "all", "window_ms": 5}]
-    assert missing({"c": [now]}, {"c": before}) == lost
+    assert first_missing_key({"c": [now]}, {"c": before}) == missing
 
 
-def test_report_fields_change_in_service_and_the_rest_is_named() -> None:
+def test_report_fields_change_in_service_and_other_changes_are_logged() -> None:
     async def scene() -> None:
         discovery = await Discovery().start()
         host = await Host("h", raw(ok(b"x", b"X-Server-Load: busy=3,queue=1\r\n"))).start()
         async with running(discovery, [host]) as proxy:
 
-            def edit(told: Json) -> None:
-                told["settings"]["reporting"]["fields"] = ["busy", "queue"]
-                told["settings"]["bounds"]["conn_idle_ms"] = 10_000
-                told["settings"]["balancers"] = 4
-                told["settings"]["discovery"] = "automatic"
-                told["limits"]["sockets"] = 128
+            def edit(fields: Json) -> None:
+                fields["settings"]["reporting"]["fields"] = ["busy", "queue"]
+                fields["settings"]["bounds"]["conn_idle_ms"] = 10_000
+                fields["settings"]["balancers"] = 4
+                fields["settings"]["discovery"] = "automatic"
+                fields["limits"]["sockets"] = 128
 
             change(proxy, edit)
-            await settled(proxy, in_force(1))
+            await wait_until(proxy, reloads_logged(1))
             log = proxy.log()
             for text in (
                 "settings.balancers stays 3, the file has 4",
@@ -218,38 +223,40 @@
                 "limits stays",
             ):
                 assert text in log, text
-            assert "conn_idle_ms" not in log and "reporting" not in log  # these hold
+            assert "conn_idle_ms" not in log and "reporting" not in log  # both are applied
             client = await proxy.client()
             assert (await client.ask("/unsafe")).status == 200
 
     asyncio.run(scene())
 
 
-def test_new_report_fields_are_read_by_the_node(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_new_report_fields_reach_the_node_and_the_decisions(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scene(loop: Loop) -> None:
-        node = node_with(("127.0.0.1", 9))
+        node = make_node(("127.0.0.1", 9))
         fields = ("util", "qps")
-        node.resettle(Settings((RequestClass("unsafe", 1500, 3000),), report_fields=fields))
+        node.apply_settings(Settings((RequestClass("unsafe", 1500, 3000),), report_fields=fields))
         assert node._settings.report_fields == fields
         assert node._balancer.settings.report_fields == fields
 
-    play(scene)
+    run_scene(scene)
 
 
-def test_what_is_fixed_is_named_by_its_path() -> None:
+def test_unapplied_change_is_named_by_its_path() -> None:
     before: Json = {"name": "n0", "limits": {"sockets": 9}, "settings": {"zone": "a", "categories": [1]}}
     now = copy.deepcopy(before)
-    assert kept(now, before) == []
+    assert unapplied_changes(now, before) == []
     now["settings"]["zone"], now["settings"]["categories"] = "b", [2]
-    assert kept(now, before) == ["settings.zone stays 'a', the file has 'b': a restart changes it"]
+    assert unapplied_changes(now, before) == [
+        "settings.zone stays 'a', the file has 'b': a restart changes it"
+    ]
 
 
-# The same program for each customer
+# The example deployments
 
 EFFECTS = {"safe": "retryable", "keyed": "dedup", "unsafe": "fragile"}
 
 
-def facts_of(path: Path) -> Json:
+def settings_of(path: Path) -> Json:
     site = tomllib.loads(path.read_text())
     allow, rules, tier = site["allow"], site["rules"], site["tier"][0]
     return {
@@ -268,48 +275,48 @@
     }  # fmt: skip
 
 
-def test_the_test_deployments_are_far_apart() -> None:
-    one, other = (read_settings(facts_of(path), 100) for path in sorted(SITES.glob("*.toml")))
+def test_example_deployments_share_no_class() -> None:
+    one, other = (read_settings(settings_of(path), 100) for path in sorted(SITES.glob("*.toml")))
     assert not {c.name for c in one.classes} & {c.name for c in other.classes}
     assert one.subscribe is not other.subscribe and bool(one.tenants) is not bool(other.tenants)
 
 
 @pytest.mark.parametrize("path", sorted(SITES.glob("*.toml")), ids=lambda path: path.stem)
-def test_each_customer_is_served_by_its_own_settings_and_leaves_nothing_to_the_next(path: Path) -> None:
-    """Started for the one, then told to serve the other: its classes and their effects hold, no others."""
+def test_proxy_applies_the_settings_of_one_deployment_and_then_only_those_of_the_other(path: Path) -> None:
+    """After a reload with the other's settings, its classes and their effects are in force, and no others."""
     other = next(p for p in SITES.glob("*.toml") if p != path)
 
-    def calls(facts: Json) -> dict[str, tuple[bytes, int]]:
-        """By effect: a request that is right, and how often it may go out where each attempt is reset."""
+    def calls(settings: Json) -> dict[str, tuple[bytes, int]]:
+        """Return by class: a valid request, and its maximum of attempts when each is reset."""
         found = {}
-        for c in facts["categories"]:
+        for c in settings["categories"]:
             key = "Idempotency-Key: k\r\n" if c["effect"] == "dedup" else ""
             if c["effect"] == "retryable":
                 head = f"GET /{c['name']} HTTP/1.1\r\nX-Request-ID: {c['name']}\r\n\r\n"
             else:
                 head = f"POST /{c['name']} HTTP/1.1\r\nX-Request-ID: {c['name']}\r\n{key}"
                 head += "Content-Length: 0\r\n\r\n"
-            most = facts["bounds"]["max_attempts"]
-            found[c["name"]] = head.encode(), 1 if c["effect"] == "fragile" else most
+            max_attempts = settings["bounds"]["max_attempts"]
+            found[c["name"]] = head.encode(), 1 if c["effect"] == "fragile" else max_attempts
         return found
 
     async def scene() -> None:
         discovery, hosts = await Discovery().start(), [await Host(f"h{i}", reset).start() for i in range(3)]
-        first, second = facts_of(path), facts_of(other)
+        first, second = settings_of(path), settings_of(other)
         async with running(discovery, hosts, settings=first) as proxy:
-            for facts, former in ((first, second), (second, first)):
-                if facts is second:
-                    change(proxy, lambda told: told.update(settings={**first, **second}))
-                    await settled(proxy, in_force(1))
-                    await asyncio.sleep(FORMER_S + 0.1)  # what was the former customer's is over then
-                for name, (data, most) in calls(facts).items():
+            for settings, other_settings in ((first, second), (second, first)):
+                if settings is second:
+                    change(proxy, lambda fields: fields.update(settings={**first, **second}))
+                    await wait_until(proxy, reloads_logged(1))
+                    await asyncio.sleep(PREVIOUS_CLASSES_S + 0.1)  # the previous classes have expired then
+                for name, (data, max_attempts) in calls(settings).items():
                     client, before = await proxy.client(), sum(len(h.seen) for h in hosts)
                     client.writer.write(data)
                     status = (await client.read()).status
                     assert status in (502, 503), name
                     sent = sum(len(h.seen) for h in hosts) - before
-                    assert sent <= most and (status == 503) <= (sent == 0), name
-                for name, (data, _) in calls(former).items():
+                    assert sent <= max_attempts and (status == 503) <= (sent == 0), name
+                for name, (data, _) in calls(other_settings).items():
                     client = await proxy.client()
                     client.writer.write(data)
                     assert (await client.read()).status == 404, name
