--- a/tests/membership/test_watching.py
+++ b/tests/membership/test_watching.py
@@ -1,4 +1,4 @@
-"""How discovery is asked and believed: its rhythm, the wait after a failure, lists that contradict."""
+"""Calls to discovery: timeouts, the delay after a failure, and contradictory lists."""
 
 from __future__ import annotations
 
@@ -10,13 +10,14 @@
 
 from cloverrouter.interface import EndpointState, ListedEndpoint
 from cloverrouter.lab.peers import Discovery, ok
+from cloverrouter.membership import watching
 from cloverrouter.membership.watching import (
-    GRACE_LEAST_S,
-    GRACE_MOST_S,
-    HOLD_S,
-    Asking,
-    Ledger,
-    reconnect_ms,
+    MAX_GRACE_S,
+    MAX_WAIT_S,
+    MIN_GRACE_S,
+    VersionGuard,
+    WatchSchedule,
+    reconnect_delay_ms,
 )
 from cloverrouter.proxy.config import HostEntry, HostList, UnixClock
 from cloverrouter.proxy.discovery import Watch
@@ -25,55 +26,57 @@
 READY, DRAINING, GONE = EndpointState.READY, EndpointState.DRAINING, EndpointState.GONE
 
 
-def told(asking: Asking, *late_s: float) -> None:
-    """Answers without news, each so late."""
+def record_answers(schedule: WatchSchedule, *late_s: float) -> None:
+    """Record answers without changes, each late by one of `late_s`."""
     for s in late_s:
-        asked = asking.question()
-        asking.answered(asked, asked.hold_s + s, 1, False)
-
-
-def test_silence_is_told_from_the_rhythm_of_the_answers() -> None:
-    asking = Asking()
-    assert asking.question().version is None and asking.question().hold_s == 0  # first, the whole list
-    assert asking.grace_s == GRACE_MOST_S  # nothing is known yet
-    told(asking, *[0.005] * 20)
-    assert asking.question().hold_s == HOLD_S and asking.grace_s == GRACE_LEAST_S
-    slow = Asking()
-    told(slow, *[0.3, 0.5] * 10)
+        request = schedule.next_request()
+        schedule.record_answer(request, request.max_wait_s + s, 1, False)
+
+
+def test_the_timeout_follows_the_measured_delay_of_answers() -> None:
+    schedule = WatchSchedule()
+    assert (
+        schedule.next_request().version is None and schedule.next_request().max_wait_s == 0
+    )  # at first, the full list
+    assert schedule.grace_s == MAX_GRACE_S  # no samples yet
+    record_answers(schedule, *[0.005] * 20)
+    assert schedule.next_request().max_wait_s == MAX_WAIT_S and schedule.grace_s == MIN_GRACE_S
+    slow = WatchSchedule()
+    record_answers(slow, *[0.3, 0.5] * 10)
     assert 0.6 < slow.grace_s < 1.2
-    asked = asking.question()
-    asking.answered(asked, 2.9, 2, True)  # it waited for news: that is not late
-    assert asking.grace_s == GRACE_LEAST_S
+    request = schedule.next_request()
+    schedule.record_answer(request, 2.9, 2, True)  # it waited for changes, which is not a delay
+    assert schedule.grace_s == MIN_GRACE_S
     for _ in range(
         50
-    ):  # nor are fifty that came before the wait was over, of a service that is slow to end one
-        slow.answered(slow.question(), 1.0, 2, True)
+    ):  # nor are fifty answers before the end of the wait, from a service that is slow to end one
+        slow.record_answer(slow.next_request(), 1.0, 2, True)
     assert slow.grace_s > 0.6
 
 
-def test_while_it_is_lost_nothing_waits_and_the_patience_grows() -> None:
-    asking = Asking()
-    told(asking, *[0.005] * 20)
+def test_after_failures_calls_do_not_wait_and_timeouts_grow() -> None:
+    schedule = WatchSchedule()
+    record_answers(schedule, *[0.005] * 20)
     graces = []
     for _ in range(8):
-        asking.failed()
-        assert asking.question().hold_s == 0 and asking.question().version == 1
-        graces.append(asking.grace_s)
-    assert graces == sorted(graces) and graces[0] == GRACE_LEAST_S and graces[-1] == GRACE_MOST_S
-    told(asking, 0.01)
-    assert asking.question().hold_s == HOLD_S and asking.grace_s == GRACE_LEAST_S
-    asking.failed(trusted=False)
-    assert asking.question().version is None
+        schedule.record_failure()
+        assert schedule.next_request().max_wait_s == 0 and schedule.next_request().version == 1
+        graces.append(schedule.grace_s)
+    assert graces == sorted(graces) and graces[0] == MIN_GRACE_S and graces[-1] == MAX_GRACE_S
+    record_answers(schedule, 0.01)
+    assert schedule.next_request().max_wait_s == MAX_WAIT_S and schedule.grace_s == MIN_GRACE_S
+    schedule.record_failure(trusted=False)
+    assert schedule.next_request().version is None
 
 
 @pytest.mark.parametrize(
-    ("failed", "proxies", "span_ms"),
+    ("failures", "proxies", "span_ms"),
     [(1, 1, 200), (30, 1, 500), (0, 12, 500), (30, 12, 500), (1, 40, 200), (3, 40, 800), (0, 40, 4000)],
 )
-def test_waits_are_spread_over_a_span_that_grows(failed: int, proxies: int, span_ms: float) -> None:
-    waits = [reconnect_ms(failed, proxies, 5000.0, Random(seed)) for seed in range(400)]
-    assert 0 <= min(waits) < 0.05 * span_ms and 0.95 * span_ms < max(waits) <= span_ms
-    assert 0.4 * span_ms < sum(waits) / len(waits) < 0.6 * span_ms
+def test_delays_are_spread_over_a_growing_span(failures: int, proxies: int, span_ms: float) -> None:
+    delays = [reconnect_delay_ms(failures, proxies, 5000.0, Random(seed)) for seed in range(400)]
+    assert 0 <= min(delays) < 0.05 * span_ms and 0.95 * span_ms < max(delays) <= span_ms
+    assert 0.4 * span_ms < sum(delays) / len(delays) < 0.6 * span_ms
 
 
 # Lists
@@ -96,30 +99,30 @@
 
 
 @pytest.mark.parametrize(
-    "leaves",
+    "drained",
     [delta(6, entry("a", DRAINING)), delta(6, entry("a", GONE)), full(6, entry("b"))],
     ids=["drains", "gone", "missing"],
 )
-def test_an_older_list_brings_nobody_back(leaves: HostList) -> None:
-    ledger = Ledger()
-    ledger.take(full(5, entry("a"), entry("b")))
-    assert ledger.take(leaves) is leaves
+def test_an_older_list_does_not_restore_drained_servers(drained: HostList) -> None:
+    guard = VersionGuard()
+    guard.filter_list(full(5, entry("a"), entry("b")))
+    assert guard.filter_list(drained) is drained
     old = full(5, entry("a"), entry("b"))
-    assert states(ledger.take(old)) == {"a": DRAINING, "b": READY}
-    # It goes on contradicting itself: the higher counting holds, however often.
+    assert states(guard.filter_list(old)) == {"a": DRAINING, "b": READY}
+    # The service keeps contradicting itself: the higher version applies, however often.
     for _ in range(5):
-        ledger.take(delta(6))
-        assert states(ledger.take(old))["a"] is DRAINING
-    # The higher counting itself may bring it back.
-    assert states(ledger.take(delta(7, entry("a")))) == {"a": READY}
-    assert states(ledger.take(old)) == {"a": READY, "b": READY}
+        guard.filter_list(delta(6))
+        assert states(guard.filter_list(old))["a"] is DRAINING
+    # The higher version itself may restore the server.
+    assert states(guard.filter_list(delta(7, entry("a")))) == {"a": READY}
+    assert states(guard.filter_list(old)) == {"a": READY, "b": READY}
 
 
-def test_the_watch_goes_by_the_ledger() -> None:
+def test_the_watch_applies_the_version_guard() -> None:
     async def scene() -> None:
         discovery = await Discovery().start()
         listed = {"id": "a", "addr": "127.0.0.1:9", "state": "active"}
-        discovery.broken = [
+        discovery.broken_answers = [
             ok(
                 json.dumps(
                     {"version": version, "full": full, "servers": [{**listed, "state": state}]}
@@ -137,28 +140,43 @@
     asyncio.run(scene())
 
 
-def test_a_new_process_is_not_held_out_for_the_old_one() -> None:
-    ledger = Ledger()
-    ledger.take(full(5, entry("a", started_ms=1.0)))
-    ledger.take(delta(6, entry("a", GONE, 1.0)))
-    assert states(ledger.take(full(2, entry("a", started_ms=9.0)))) == {"a": READY}
-
-
-def test_a_service_that_counts_anew_is_believed_once_it_goes_on() -> None:
-    ledger = Ledger(100)
-    ledger.take(full(100, entry("a"), entry("b")))
-    ledger.take(delta(101, entry("a", DRAINING)))
-    assert states(ledger.take(full(1, entry("a"), entry("b")))) == {"a": DRAINING, "b": READY}
-    assert states(ledger.take(delta(1))) == {}
-    assert states(ledger.take(delta(2, entry("b", DRAINING)))) == {"b": DRAINING, "a": READY}
-    assert ledger.top == 2
-    assert states(ledger.take(delta(3, entry("b")))) == {"b": READY}  # by the new counting from here on
-
-
-def test_what_the_lower_counting_says_last_of_a_server_holds() -> None:
-    ledger = Ledger()
-    ledger.take(full(100, entry("a"), entry("b")))
-    ledger.take(delta(101, entry("a", DRAINING)))
-    ledger.take(full(1, entry("a")))
-    ledger.take(delta(2, entry("a", GONE)))
-    assert states(ledger.take(delta(3))) == {}
+def test_a_new_process_is_not_withheld_because_of_the_old_one() -> None:
+    guard = VersionGuard()
+    guard.filter_list(full(5, entry("a", started_ms=1.0)))
+    guard.filter_list(delta(6, entry("a", GONE, 1.0)))
+    assert states(guard.filter_list(full(2, entry("a", started_ms=9.0)))) == {"a": READY}
+
+
+def test_of_more_removed_servers_than_are_remembered_the_first_of_the_list_are_dropped(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    monkeypatch.setattr(watching, "MAX_REMOVED_ENTRIES", 6)
+    names = [f"s-{i}" for i in range(12)]
+    every = [entry(name) for name in names]
+    guard = VersionGuard()
+    guard.filter_list(full(5, *every))
+    guard.filter_list(full(6, entry("other")))
+    found = states(guard.filter_list(full(5, *every)))
+    assert found == {name: READY if i < 6 else DRAINING for i, name in enumerate(names)}
+
+
+def test_restarted_versions_are_accepted_once_they_continue() -> None:
+    guard = VersionGuard(100)
+    guard.filter_list(full(100, entry("a"), entry("b")))
+    guard.filter_list(delta(101, entry("a", DRAINING)))
+    assert states(guard.filter_list(full(1, entry("a"), entry("b")))) == {"a": DRAINING, "b": READY}
+    assert states(guard.filter_list(delta(1))) == {}
+    assert states(guard.filter_list(delta(2, entry("b", DRAINING)))) == {"b": DRAINING, "a": READY}
+    assert guard.highest_version == 2
+    assert states(guard.filter_list(delta(3, entry("b")))) == {
+        "b": READY
+    }  # the new versions apply from now on
+
+
+def test_the_last_entry_of_the_lower_versions_applies() -> None:
+    guard = VersionGuard()
+    guard.filter_list(full(100, entry("a"), entry("b")))
+    guard.filter_list(delta(101, entry("a", DRAINING)))
+    guard.filter_list(full(1, entry("a")))
+    guard.filter_list(delta(2, entry("a", GONE)))
+    assert states(guard.filter_list(delta(3))) == {}
--- a/tests/roster/test_guard.py
+++ b/tests/roster/test_guard.py
@@ -1,4 +1,4 @@
-"""The last server that can take work is not drained by mistake."""
+"""The check that rejects a drain of the last healthy server."""
 
 from __future__ import annotations
 
@@ -9,38 +9,40 @@
 
 
 def view(
-    name: str, state: EndpointState = EndpointState.READY, paused_ms: float = 0, silent: bool = False
+    name: str, state: EndpointState = EndpointState.READY, paused_ms: float = 0, unresponsive: bool = False
 ) -> EndpointView:
-    return EndpointView(name, "", 0, state, 0, 4.0, 1.0, 1.0, paused_ms, silent, 0, 10.0)
+    return EndpointView(name, "", 0, state, 0, 4.0, 1.0, 1.0, paused_ms, unresponsive, 0, 10.0)
 
 
-def test_drain_is_allowed_while_another_can_take_work() -> None:
+def test_drain_is_allowed_while_another_server_is_healthy() -> None:
     assert check_drain([view("a"), view("b")], "a") is None
     assert check_drain([view("a"), view("b", paused_ms=9), view("c")], "a") is None
 
 
 @pytest.mark.parametrize(
-    ("other", "word"),
+    ("other", "text"),
     [
         (view("b", EndpointState.DRAINING), "b is draining"),
         (view("b", paused_ms=1200), "b is paused 1.2s"),
-        (view("b", silent=True), "b is silent"),
+        (view("b", unresponsive=True), "b is silent"),
     ],
 )
-def test_last_that_can_take_work_is_refused_with_what_would_remain(other: EndpointView, word: str) -> None:
-    last = check_drain([view("a"), other], "a")
-    assert last is not None and word in last.text()
+def test_drain_of_the_last_healthy_server_is_rejected_with_the_remaining_states(
+    other: EndpointView, text: str
+) -> None:
+    rejection = check_drain([view("a"), other], "a")
+    assert rejection is not None and text in rejection.text()
 
 
-def test_only_server_is_refused() -> None:
-    last = check_drain([view("a")], "a")
-    assert last is not None and "only server" in last.text()
+def test_drain_of_the_only_server_is_rejected() -> None:
+    rejection = check_drain([view("a")], "a")
+    assert rejection is not None and "only server" in rejection.text()
 
 
-def test_server_that_is_paused_just_now_is_missed_too_if_no_other_works() -> None:
-    assert check_drain([view("a", paused_ms=5), view("b", silent=True)], "a") is not None
+def test_drain_of_a_paused_server_is_rejected_if_no_other_is_healthy() -> None:
+    assert check_drain([view("a", paused_ms=5), view("b", unresponsive=True)], "a") is not None
 
 
-def test_server_that_discovery_lets_go_is_no_loss() -> None:
+def test_server_that_discovery_drains_or_does_not_list_may_be_drained() -> None:
     assert check_drain([view("a", EndpointState.DRAINING)], "a") is None
     assert check_drain([], "a") is None
--- a/tests/roster/test_overlay.py
+++ b/tests/roster/test_overlay.py
@@ -1,4 +1,4 @@
-"""The overlay's rules, by example and over random histories."""
+"""The overlay's rules: examples, and random sequences of lists and commands."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     return HostEntry(ListedEndpoint(name, state=state), address)
 
 
-def told(*entries: HostEntry, full: bool = True) -> HostList:
+def host_list(*entries: HostEntry, full: bool = True) -> HostList:
     return HostList(1, full, entries)
 
 
@@ -28,99 +28,101 @@
     return {} if found is None else {e.listed.name: e.listed.state for e in found.entries}
 
 
-def by(name: str, until_ms: float | None = None) -> Drain:
+def new_drain(name: str, until_ms: float | None = None) -> Drain:
     return Drain(name, "anna", 1000.0, until_ms)
 
 
-def fresh(*names: str) -> Overlay:
-    found = Overlay()
-    found.listed(ListKind.FULL, told(*(entry(name) for name in names)))
-    return found
+def overlay_with(*names: str) -> Overlay:
+    roster = Overlay()
+    roster.listed(ListKind.FULL, host_list(*(entry(name) for name in names)))
+    return roster
 
 
-def test_without_drains_the_list_is_passed_on_as_it_is() -> None:
-    found = told(entry("a"), entry("b", LEAVING))
+def test_without_drains_the_list_is_forwarded_unchanged() -> None:
+    found = host_list(entry("a"), entry("b", LEAVING))
     assert Overlay().listed(ListKind.FULL, found) is found
 
 
-def test_drain_tells_the_module_and_restore_takes_it_back() -> None:
-    roster = fresh("a", "b")
-    change = roster.drain(by("a"))
-    assert (change.before, change.after, states(change.tell)) == ("ready", "drained", {"a": LEAVING})
+def test_drain_updates_the_decision_module_and_restore_undoes_it() -> None:
+    roster = overlay_with("a", "b")
+    change = roster.drain(new_drain("a"))
+    assert (change.before, change.after, states(change.update)) == ("ready", "drained", {"a": LEAVING})
     change = roster.restore("a")
-    assert (change.before, change.after, states(change.tell)) == ("drained", "ready", {"a": READY})
+    assert (change.before, change.after, states(change.update)) == ("drained", "ready", {"a": READY})
 
 
 @pytest.mark.parametrize("kind", [ListKind.FULL, ListKind.RESTORED, ListKind.DELTA])
 def test_no_later_list_undoes_a_drain(kind: ListKind) -> None:
-    roster = fresh("a", "b")
-    roster.drain(by("a"))
-    found = roster.listed(kind, told(entry("a"), entry("b")))
+    roster = overlay_with("a", "b")
+    roster.drain(new_drain("a"))
+    found = roster.listed(kind, host_list(entry("a"), entry("b")))
     assert states(found) == {"a": LEAVING, "b": READY}
 
 
 @pytest.mark.parametrize("way", ["delta", "full"])
-def test_server_that_vanishes_and_comes_back_under_its_id_stays_drained(way: str) -> None:
-    roster = fresh("a", "b")
-    roster.drain(by("a"))
+def test_server_that_is_removed_and_listed_again_stays_drained(way: str) -> None:
+    roster = overlay_with("a", "b")
+    roster.drain(new_drain("a"))
     if way == "delta":
-        roster.listed(ListKind.DELTA, told(entry("a", GONE)))
+        roster.listed(ListKind.DELTA, host_list(entry("a", GONE)))
     else:
-        roster.listed(ListKind.FULL, told(entry("b")))
+        roster.listed(ListKind.FULL, host_list(entry("b")))
     assert roster.state("a") == "drained+absent"
     back = replace(entry("a", port=2).listed, started_ms=5000.0)  # a new process elsewhere, the same id
-    found = roster.listed(ListKind.DELTA, told(HostEntry(back, ("127.0.0.1", 2))))
+    found = roster.listed(ListKind.DELTA, host_list(HostEntry(back, ("127.0.0.1", 2))))
     assert states(found) == {"a": LEAVING}
 
 
 def test_new_id_at_the_old_address_is_not_drained() -> None:
-    roster = fresh("a", "b")
-    roster.drain(by("a"))
-    found = roster.listed(ListKind.FULL, told(entry("c"), entry("b")))  # c stands where a stood
+    roster = overlay_with("a", "b")
+    roster.drain(new_drain("a"))
+    found = roster.listed(ListKind.FULL, host_list(entry("c"), entry("b")))  # c replaces a
     assert states(found) == {"c": READY, "b": READY}
 
 
-def test_drain_never_makes_more_of_a_server_than_discovery_does() -> None:
-    roster = fresh("a")
-    roster.drain(by("a"))
-    assert states(roster.listed(ListKind.DELTA, told(entry("a", GONE)))) == {"a": GONE}
-    roster.listed(ListKind.DELTA, told(entry("a", LEAVING)))
+def test_drain_never_upgrades_the_state_that_discovery_reports() -> None:
+    roster = overlay_with("a")
+    roster.drain(new_drain("a"))
+    assert states(roster.listed(ListKind.DELTA, host_list(entry("a", GONE)))) == {"a": GONE}
+    roster.listed(ListKind.DELTA, host_list(entry("a", LEAVING)))
     assert roster.state("a") == "drained+leaving"
     change = roster.restore("a")
-    assert (change.after, states(change.tell)) == ("leaving", {"a": LEAVING})
+    assert (change.after, states(change.update)) == ("leaving", {"a": LEAVING})
 
 
-def test_said_again_a_drain_keeps_its_author_and_tells_nothing() -> None:
-    roster = fresh("a")
-    roster.drain(by("a"))
+def test_repeated_drain_keeps_its_author_and_sends_no_update() -> None:
+    roster = overlay_with("a")
+    roster.drain(new_drain("a"))
     change = roster.drain(Drain("a", "boris", 2000.0, 9000.0, "longer"))
-    assert change.tell is None and change.before == change.after == "drained"
+    assert change.update is None and change.before == change.after == "drained"
     assert roster.drains["a"] == Drain("a", "anna", 1000.0, 9000.0, "longer")
     roster.restore("a")
     assert not roster.restore("a").changed
 
 
-def test_drain_ends_by_itself_at_its_time_and_not_before() -> None:
-    roster = fresh("a", "b")
-    roster.drain(by("a", until_ms=5000.0))
-    roster.drain(by("b"))
+def test_drain_expires_at_its_end_and_not_before() -> None:
+    roster = overlay_with("a", "b")
+    roster.drain(new_drain("a", until_ms=5000.0))
+    roster.drain(new_drain("b"))
     assert roster.next_expiry_ms() == 5000.0
     assert roster.expire(4999.9) == []
     (change,) = roster.expire(5000.0)
-    assert states(change.tell) == {"a": READY}
+    assert states(change.update) == {"a": READY}
     assert roster.next_expiry_ms() is None and roster.state("b") == "drained"
 
 
-def test_unknown_ids_and_too_many_are_errors_and_change_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    roster = fresh("a", "b")
+def test_unknown_ids_and_too_many_drains_are_errors_that_change_nothing(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    roster = overlay_with("a", "b")
     with pytest.raises(UnknownServer):
-        roster.drain(by("x"))
+        roster.drain(new_drain("x"))
     with pytest.raises(UnknownServer):
         roster.restore("x")
     monkeypatch.setattr(overlay, "MOST_DRAINS", 1)
-    roster.drain(by("a"))
+    roster.drain(new_drain("a"))
     with pytest.raises(TooManyDrains):
-        roster.drain(by("b"))
+        roster.drain(new_drain("b"))
     assert set(roster.drains) == {"a"}
 
 
@@ -138,54 +140,53 @@
 
 
 @given(st.lists(st.tuples(STEP, st.integers(0, 30)), max_size=40))
-def test_what_the_module_was_told_is_always_discovery_overlaid(
+def test_decision_module_always_sees_the_discovered_list_with_drains_applied(
     steps: list[tuple[tuple[str, object], int]],
 ) -> None:
-    """The module's list, kept from what it is told, is never ready for a drained server and never differs
-    from what discovery said for any other."""
-    roster, discovery = Overlay(), dict[str, EndpointState]()
-    module, drained = dict[str, EndpointState](), dict[str, float | None]()
+    """A drained server is never ready in the decision module's list; the others are as discovered."""
+    roster, discovered = Overlay(), dict[str, EndpointState]()
+    module_states, drained = dict[str, EndpointState](), dict[str, float | None]()
 
-    def tell(found: HostList | None, whole: bool = False) -> None:
-        if whole:
-            module.clear()
-        module.update(states(found))
-        for name in [n for n, s in module.items() if s is GONE]:
-            del module[name]
+    def apply_update(found: HostList | None, full: bool = False) -> None:
+        if full:
+            module_states.clear()
+        module_states.update(states(found))
+        for name in [n for n, s in module_states.items() if s is GONE]:
+            del module_states[name]
 
-    def follow(change: Change) -> None:
-        tell(change.tell)
+    def apply_change(change: Change) -> None:
+        apply_update(change.update)
 
     now = 0
-    for (what, how), number in steps:
-        if what in ("full", "delta"):
-            pairs = dict(how)  # type: ignore[call-overload]
-            entries = told(*(entry(name, state) for name, state in pairs.items()))
-            if what == "full":
-                discovery.clear()
-            discovery.update(pairs)
-            discovery = {n: s for n, s in discovery.items() if s is not GONE}
-            kind = ListKind.FULL if what == "full" else ListKind.DELTA
-            tell(roster.listed(kind, entries), whole=what == "full")
-        elif what == "expire":
-            now += int(how)  # type: ignore[call-overload]
+    for (step, argument), number in steps:
+        if step in ("full", "delta"):
+            pairs = dict(argument)  # type: ignore[call-overload]
+            entries = host_list(*(entry(name, state) for name, state in pairs.items()))
+            if step == "full":
+                discovered.clear()
+            discovered.update(pairs)
+            discovered = {n: s for n, s in discovered.items() if s is not GONE}
+            kind = ListKind.FULL if step == "full" else ListKind.DELTA
+            apply_update(roster.listed(kind, entries), full=step == "full")
+        elif step == "expire":
+            now += int(argument)  # type: ignore[call-overload]
             for change in roster.expire(now):
-                follow(change)
+                apply_change(change)
             drained = {n: u for n, u in drained.items() if u is None or now < u}
         else:
-            name = str(how)
-            known = name in discovery or name in drained
+            name = str(argument)
+            known = name in discovered or name in drained
             try:
-                if what == "drain":
+                if step == "drain":
                     until = None if number < 15 else float(now + number)
-                    follow(roster.drain(by(name, until)))
+                    apply_change(roster.drain(new_drain(name, until)))
                     drained[name] = until
                 else:
-                    follow(roster.restore(name))
+                    apply_change(roster.restore(name))
                     drained.pop(name, None)
             except UnknownServer:
                 assert not known
                 continue
             assert known
         assert set(roster.drains) == set(drained)
-        assert module == {n: LEAVING if n in drained else s for n, s in discovery.items()}
+        assert module_states == {n: LEAVING if n in drained else s for n, s in discovered.items()}
--- a/tests/site/test_settings.py
+++ b/tests/site/test_settings.py
@@ -1,4 +1,4 @@
-"""The operators' file: what is wrong is named with its key and what would be right, all in one go."""
+"""Validation of the operators' file: all errors are reported at once, each with its key and valid values."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 EXAMPLE = Path(__file__).parents[2] / "deploy" / "site.toml"
 
 
-def test_example_turns_nothing_on_and_names_every_setting() -> None:
+def test_example_enables_nothing_and_lists_every_setting() -> None:
     assert load(str(EXAMPLE)) == Site()
     lines = EXAMPLE.read_text().splitlines()
     uncommented = "\n".join(line.removeprefix("# ") if " = " in line else line for line in lines)
     site, faults = read("\n".join(li for li in uncommented.splitlines() if not li.startswith("#")))
-    assert site == Site(), faults  # the defaults that the example names are the defaults
+    assert site == Site(), faults  # the example shows the default of each setting
 
 
-def test_empty_file_is_everything_off() -> None:
+def test_empty_file_enables_nothing() -> None:
     assert read("") == (Site(), [])
 
 
@@ -74,14 +74,14 @@
         ("[control]\nenabled = true\nenabled = true", "", "toml.io"),
     ],
 )
-def test_fault_names_its_key_and_what_would_be_right(text: str, key: str, right: str) -> None:
+def test_fault_names_its_key_and_the_valid_values(text: str, key: str, right: str) -> None:
     site, faults = read(text)
     assert site is None
     (fault,) = faults
     assert fault.key == key and right in fault.right
 
 
-def test_all_faults_come_at_once_each_with_the_file(tmp_path: Path) -> None:
+def test_all_faults_are_reported_at_once_each_with_the_file(tmp_path: Path) -> None:
     path = tmp_path / "site.toml"
     path.write_text("[control]\nclients = 0\nqueue = 5\n[state]\nenabled = 'on'\n[x]\n")
     with pytest.raises(SiteError) as caught:
@@ -91,13 +91,13 @@
 
 
 @given(st.text(max_size=200))
-def test_any_text_is_settings_or_faults(text: str) -> None:
+def test_arbitrary_text_yields_settings_or_faults(text: str) -> None:
     site, faults = read(text)
     assert (site is None) == bool(faults)
 
 
 @pytest.mark.parametrize("data", [b"\xff\xfe", b"#" * 300_000], ids=["no utf-8", "huge"])
-def test_file_that_is_no_text_is_an_error(tmp_path: Path, data: bytes) -> None:
+def test_unreadable_file_is_an_error(tmp_path: Path, data: bytes) -> None:
     path = tmp_path / "site.toml"
     path.write_bytes(data)
     with pytest.raises(SiteError):
@@ -106,10 +106,10 @@
         load(str(tmp_path / "missing"))
 
 
-def test_check_looks_at_the_folders(tmp_path: Path) -> None:
+def test_check_validates_the_directories(tmp_path: Path) -> None:
     path, folder = tmp_path / "site.toml", tmp_path / "c"
     path.write_text(f"[control]\nenabled = true\ndirectory = '{folder}'\n")
-    assert check(str(path)).control.enabled  # not there yet: it is made at the start
+    assert check(str(path)).control.enabled  # a missing directory is created at startup
     folder.mkdir(mode=0o755)
     folder.chmod(0o755)
     with pytest.raises(SiteError, match="chmod 0700"):
@@ -125,19 +125,19 @@
         check(str(path))
 
 
-def test_check_command_tells_and_starts_nothing(tmp_path: Path) -> None:
+def test_check_command_reports_faults_and_starts_no_proxy(tmp_path: Path) -> None:
     bad = tmp_path / "bad.toml"
     bad.write_text("[control]\nclients = 900\n")
     command = [sys.executable, "-m", "cloverrouter", "check"]
-    found = subprocess.run([*command, str(bad)], capture_output=True, text=True, timeout=60)
-    assert found.returncode == 2
-    assert found.stderr == f"{bad}: control.clients: is 900; must be a whole number from 1 to 64\n"
-    found = subprocess.run([*command, str(EXAMPLE)], capture_output=True, text=True, timeout=60)
-    assert found.returncode == 0 and '"enabled": false' in found.stdout
+    result = subprocess.run([*command, str(bad)], capture_output=True, text=True, timeout=60)
+    assert result.returncode == 2
+    assert result.stderr == f"{bad}: control.clients: is 900; must be a whole number from 1 to 64\n"
+    result = subprocess.run([*command, str(EXAMPLE)], capture_output=True, text=True, timeout=60)
+    assert result.returncode == 0 and '"enabled": false' in result.stdout
 
 
 @pytest.mark.parametrize("wrong", ["[control]\nclients = 0\n", None], ids=["bad file", "no file"])
-def test_proxy_does_not_start_on_a_wrong_file(tmp_path: Path, wrong: str | None) -> None:
+def test_proxy_does_not_start_with_an_invalid_file(tmp_path: Path, wrong: str | None) -> None:
     path, config = tmp_path / "site.toml", tmp_path / "config.json"
     if wrong is not None:
         path.write_text(wrong)
@@ -147,7 +147,7 @@
         '"fall_multiple": 3, "fall_ms": 1, "must_ask_in_ms": 1}}}'
     )
     environ = {**os.environ, "PROXY_CONFIG": str(config), "PROXY_SITE": str(path)}
-    found = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-m", "cloverrouter.proxy"], env=environ, capture_output=True, text=True, timeout=60
     )
-    assert found.returncode == 2 and str(path) in found.stderr
+    assert result.returncode == 2 and str(path) in result.stderr
--- a/tests/standins/terminal.py
+++ b/tests/standins/terminal.py
@@ -1,4 +1,4 @@
-"""A terminal on a pty: a VT100 emulator (pyte) behind a line of a given speed, and the program on it."""
+"""A terminal on a pty for tests: a VT100 emulator (pyte) on a line of limited speed, running a program."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class Emulator(pyte.Screen):
-    """Sends its answers to status reports back over the line, as a terminal does; or never, if told so."""
+    """VT100 emulator; passes its replies to status requests to `reply`, as a terminal sends them."""
 
     def __init__(self, columns: int, lines: int, reply: Callable[[bytes], None]) -> None:
         self._reply = reply
@@ -34,7 +34,11 @@
 
 
 class Terminal:
-    """`speed`: bytes a second that the line carries; None: as many as come. `paused`: it reads nothing."""
+    """A terminal on the pty's master side.
+
+    `speed`: the line's bytes per second; None: unlimited. `answers`: whether it replies to status requests.
+    While `paused` is set, it reads nothing.
+    """
 
     def __init__(self, master: int, columns: int, lines: int, speed: float | None, answers: bool) -> None:
         self.master = master
@@ -53,7 +57,7 @@
 
     @property
     def backlog(self) -> int:
-        """Bytes that lie in the line, sent and not read."""
+        """Return the number of bytes that the program has sent and the terminal has not read."""
         found = array.array("i", [0])
         fcntl.ioctl(self.master, termios.FIONREAD, found)
         return found[0]
@@ -63,7 +67,7 @@
         while True:
             now = time.monotonic()
             if self.speed is not None:
-                # Of time that passed unread nothing is made up: a line carries no more for having rested.
+                # Unused time does not accumulate: an idle line is not faster afterwards.
                 allowed = min(allowed + (now - before) * self.speed, self.speed * 5 * TICK_S)
             before = now
             self.longest_backlog = max(self.longest_backlog, self.backlog)
@@ -87,29 +91,37 @@
 
     @property
     def text(self) -> str:
+        """Return the screen's text."""
         return "\n".join(line.rstrip() for line in self.screen.display)
 
     def type(self, text: str) -> None:
+        """Send keys to the program."""
         os.write(self.master, text.encode("latin-1"))
 
     async def until(self, condition: Callable[[], bool], seconds: float = LONG_S) -> float:
-        """Wait until `condition` holds of what is seen; how long that took. Fails with the screen."""
-        begun = time.monotonic()
+        """Wait until `condition` holds, checked after each output; return the seconds it took.
+
+        On a timeout, raises an AssertionError with the screen's text.
+        """
+        started = time.monotonic()
         try:
             async with asyncio.timeout(seconds), self._changed:
                 await self._changed.wait_for(condition)
         except TimeoutError:
             raise AssertionError(f"not seen within {seconds} s:\n{self.text}") from None
-        return time.monotonic() - begun
+        return time.monotonic() - started
 
     async def sees(self, *texts: str, seconds: float = LONG_S) -> float:
+        """Wait until all texts are on the screen; return the seconds it took."""
         return await self.until(lambda: all(text in self.text for text in texts), seconds)
 
     def resize(self, columns: int, lines: int) -> None:
+        """Change the window size, which signals the program."""
         self.screen.resize(lines, columns)
         fcntl.ioctl(self.master, termios.TIOCSWINSZ, struct.pack("4H", lines, columns, 0, 0))
 
     def close(self) -> None:
+        """Stop reading and close the pty."""
         self._task.cancel()
         os.close(self.master)
 
@@ -123,7 +135,7 @@
     answers: bool = True,
     term: str = "vt100",
 ) -> AsyncIterator[tuple[Terminal, subprocess.Popen[bytes]]]:
-    """`python -m cloverrouter ARGUMENTS` on a terminal of its own. `baud` 9600 carries 960 bytes a second."""
+    """Run `python -m cloverrouter ARGUMENTS` on a new terminal. `baud` 9600 carries 960 bytes per second."""
     master, slave = pty.openpty()
     fcntl.ioctl(master, termios.TIOCSWINSZ, struct.pack("4H", lines, columns, 0, 0))
     if baud is not None:
@@ -138,7 +150,7 @@
         stderr=slave,
         env={**os.environ, "TERM": term, "TZ": "UTC"},
         start_new_session=True,
-        preexec_fn=lambda: fcntl.ioctl(0, termios.TIOCSCTTY, 0),  # resizing is told to its session
+        preexec_fn=lambda: fcntl.ioctl(0, termios.TIOCSCTTY, 0),  # the session receives SIGWINCH
     )
     os.close(slave)
     terminal = Terminal(master, columns, lines, None if baud is None else baud / 10, answers)
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -1,4 +1,4 @@
-"""The adapter: what it reads, what it writes, and how it ends on bad input."""
+"""The simulator adapter: input, output and exit on invalid input."""
 
 from __future__ import annotations
 
@@ -70,7 +70,7 @@
 
 
 @pytest.mark.parametrize(
-    ("line", "says"),
+    ("line", "message"),
     [
         ("{oops", "not JSON"),
         ("[1]", "not an object"),
@@ -84,20 +84,20 @@
         (batch(1, 1, "proxy_0", begin(), {"sync": {"scope": "replace", "list": 3}}), "3"),
     ],
 )
-def test_unreadable_line_ends_it_with_one_plain_line(line: str, says: str) -> None:
+def test_an_unreadable_line_ends_the_process_with_one_error_line(line: str, message: str) -> None:
     code, replies, err = run(line)
     assert code != 0 and replies == []
-    assert len(err.splitlines()) == 1 and says in err
+    assert len(err.splitlines()) == 1 and message in err
 
 
-def test_unknown_event_is_named_once_and_ignored() -> None:
+def test_an_unknown_event_is_reported_once_and_ignored() -> None:
     new = {"weather": {"rain": True}}
     code, replies, err = run(batch(1, 1, "proxy_0", begin(), new, new), batch(2, 2, "proxy_0", new))
     assert code == 0 and len(replies) == 2
     assert err.count("weather") == 1
 
 
-def test_kill_voids_the_old_life_and_a_new_one_starts_from_nothing() -> None:
+def test_a_killed_instance_sends_nothing_and_restarts_with_empty_state() -> None:
     code, replies, _ = run(
         batch(1, 10, "proxy_0", begin(), REGISTER, SYNC, request(5)),
         batch(2, 20, "proxy_0", {"left": {"handle": 5}}, request(6), {"power_off": {}}),
@@ -114,7 +114,7 @@
     assert replies[0]["groups"][0]["cmds"][0]["try"]["host"] == "h9"
 
 
-def test_crash_of_the_decisions_is_reported_with_its_text(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_crash_of_a_balancer_is_reported_with_its_text(monkeypatch: pytest.MonkeyPatch) -> None:
     def crash(*_: object) -> None:
         raise ZeroDivisionError("a bug")
 
@@ -124,8 +124,8 @@
     assert replies[0]["groups"][0]["cmds"] == [{"give_in": {"message": "ZeroDivisionError: a bug"}}]
 
 
-def day() -> list[str]:
-    """A stretch with two instances, failures and retries."""
+def traffic() -> list[str]:
+    """Batches with two instances, failures and retries."""
     lines = [batch(0, 0, who, begin(i), REGISTER, SYNC) for i, who in enumerate(("proxy_0", "proxy_1"))]
     for i in range(60):
         who, at = f"proxy_{i % 2}", 10.0 * i + 10
@@ -143,13 +143,13 @@
         result = subprocess.run(
             command, input="\n".join(lines), env=env, capture_output=True, text=True, check=True
         )
-        done: dict[str, list[Json]] = {"proxy_0": [], "proxy_1": []}
+        actions: dict[str, list[Json]] = {"proxy_0": [], "proxy_1": []}
         for reply in map(json.loads, result.stdout.splitlines()):
             for group in reply["groups"]:
-                done[group["who"]] += group["cmds"]
-        return done
+                actions[group["who"]] += group["cmds"]
+        return actions
 
-    together = play(day(), "1")
-    apart = [play([line for line in day() if who in line], "77")[who] for who in together]
+    together = play(traffic(), "1")
+    apart = [play([line for line in traffic() if who in line], "77")[who] for who in together]
     assert list(together.values()) == apart
     assert all(len(cmds) > 30 for cmds in apart)
--- a/tests/test_busy.py
+++ b/tests/test_busy.py
@@ -1,4 +1,4 @@
-"""A crowd of proxies and servers that report how busy they are, not what they hold; in simulated time."""
+"""Many proxies, and servers that report their utilization, not their request count; in simulated time."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 import pytest
 
-from cloverrouter.decide import COVER, UTIL_MOST, Flow
+from cloverrouter.decide import COVER, UTIL_MOST, ConcurrencyLimit
 from cloverrouter.interface import AttemptEnded, Outcome
 from cloverrouter.lab import simcarrier, world
 from cloverrouter.lab.scenario import Scenario, load
@@ -18,17 +18,17 @@
 from tests.driver import SETTINGS, Driver, endpoint
 
 FIELDS = ("util", "qps", "eps")
-CROWD = replace(SETTINGS, proxies=int(COVER) + 1, report_fields=FIELDS)
+MANY_PROXIES = replace(SETTINGS, proxies=int(COVER) + 1, report_fields=FIELDS)
 
 
-def answered(driver: Driver, report: tuple[float, ...], rounds: int = 40) -> None:
-    """Three requests at a time, more than the pooled limit lets out, each answered at once."""
+def answer_requests(driver: Driver, report: tuple[float, ...], rounds: int = 40) -> None:
+    """Send three requests at a time, more than the pooled limit allows, and answer each at once."""
     for _ in range(rounds):
         requests = [driver.request()[0] for _ in range(3)]
         driver.wait(20)
         for request in requests:
             if request in driver.sent and not driver.balancer.requests[request].done:
-                driver.tell(AttemptEnded(request, 0, Outcome.OK, 20, True, report))
+                driver.dispatch(AttemptEnded(request, 0, Outcome.OK, 20, True, report))
 
 
 @pytest.mark.parametrize(
@@ -36,25 +36,25 @@
     [
         (FIELDS, (0.4 * UTIL_MOST, 9.0, 0.0), True),
         (FIELDS, (1.0, 9.0, 0.0), False),
-        (FIELDS, (1.3 * UTIL_MOST, 9.0, 0.0), False),  # noise may tell of more than there is
-        (("inflight", "util"), (0.3, 1.0), True),  # what it holds says more
-        (("qps", "eps"), (1.0, 0.0), True),  # nothing says how full it is
+        (FIELDS, (1.3 * UTIL_MOST, 9.0, 0.0), False),  # a noisy report may exceed the maximum
+        (("inflight", "util"), (0.3, 1.0), True),  # the request count takes precedence
+        (("qps", "eps"), (1.0, 0.0), True),  # no load in the report
     ],
 )
-def test_busy_servers_shrink_the_pooled_limit_though_answers_are_quick(
+def test_busy_servers_shrink_the_pooled_limit_even_if_answers_are_quick(
     fields: tuple[str, ...], report: tuple[float, ...], grows: bool
 ) -> None:
-    """Danger: by the time that answers are late, servers are long in the jam that this is to prevent."""
-    settings = replace(CROWD, report_fields=fields)
+    """When answers become late, servers have long been congested, which this is to prevent."""
+    settings = replace(MANY_PROXIES, report_fields=fields)
     driver = Driver(settings, [endpoint(f"s{i}") for i in range(int(COVER) + 1)])
-    flow = driver.balancer.flow
-    flow.limit = before = 2.0
-    answered(driver, report)
-    assert (flow.limit > before) is grows
+    limit = driver.balancer.concurrency_limit
+    limit.limit = before = 2.0
+    answer_requests(driver, report)
+    assert (limit.limit > before) is grows
 
 
-# A day in the lab. Requests hold no core for a part of their time, answers may take far longer than they do,
-# and servers work on what nobody waits for any more: when answers are late, servers are jammed to the end.
+# A lab scenario. Requests use no core for part of their time, the aims are far longer than the usual latency,
+# and servers process requests whose clients have given up: when answers are late, servers stay congested.
 DAY = """
 name = "busy"
 seconds = 20
@@ -109,30 +109,34 @@
 
 
 class BusyServer(Server):
-    """Reports what share of its cores' time was used, and requests a second; answers wait for other parts."""
+    """Reports the utilization of its cores and its request rate; answers take another IO_S after the work."""
 
-    used_s = 0.0  # of all cores
+    used_s = 0.0  # CPU time, of all cores
     served = 0
-    since = (0.0, 0.0, 0)  # the last report's time, and what the two counted then
-    told = (0.0, 0.0, 0.0)
+    since = (0.0, 0.0, 0)  # time of the last report, and used_s and served at that time
+    last_report = (0.0, 0.0, 0.0)
 
-    def _reading(self, now_s: float) -> tuple[float, ...]:
+    def _load_report(self, now_s: float) -> tuple[float, ...]:
         span_s = now_s - self.since[0]
         if span_s >= self.kind.report_ms / 1000:
             util = (self.used_s - self.since[1]) / span_s / self.kind.cores
             noise = [self.draws.between(0.75, 1.25) for _ in range(2)]
-            self.told = (min(1.0, util) * noise[0], (self.served - self.since[2]) / span_s * noise[1], 0.0)
+            self.last_report = (
+                min(1.0, util) * noise[0],
+                (self.served - self.since[2]) / span_s * noise[1],
+                0.0,
+            )
             self.since = (now_s, self.used_s, self.served)
-        return self.told
+        return self.last_report
 
     def _end(self, job: Job, run: int) -> None:
-        if job.run == run and not job.done:
+        if job.generation == run and not job.done:
             self.used_s += self.loop.time() - job.since_s
             self.served += 1
-            job.reply = partial(self._later, job.reply)
+            job.reply = partial(self._reply_later, job.reply)
         super()._end(job, run)
 
-    def _later(self, reply: object, answer: Reply) -> None:
+    def _reply_later(self, reply: object, answer: Reply) -> None:
         assert callable(reply)
         self.loop.call_later(IO_S, reply, answer)
 
@@ -152,9 +156,9 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_a_crowd_serves_a_day_whose_servers_report_only_how_busy_they_are(day: Scenario, seed: int) -> None:
-    """Danger: too little is sent at first, then too much; jammed servers answer nobody in time, and the
-    clients' repeats keep it so."""
+def test_many_proxies_serve_well_if_servers_report_only_their_utilization(day: Scenario, seed: int) -> None:
+    """Otherwise too little is sent at first, then too much; congested servers answer no request in time, and
+    the clients' retries keep them congested."""
     simulation = Simulation(day, seed)
     result = simulation.run()
     jammed = sum(server.jammed_since is not None for server in simulation.servers.values())
@@ -162,14 +166,14 @@
     assert jammed <= 3
 
 
-def test_a_start_that_counts_no_cores_is_made_up_for_within_seconds() -> None:
-    """Danger: where a server of four cores is told to weigh 1, the start keeps a quarter of them busy, and
-    the first seconds' requests are refused while the servers idle."""
-    flow, answers = Flow(CROWD), 0
-    flow.resize(8.0)
-    while flow.limit < 4 * flow.start:
+def test_limit_grows_within_seconds_where_weights_are_not_core_counts() -> None:
+    """Where a server with four cores has a weight of 1, the initial limit keeps a quarter of them busy, and
+    requests are refused in the first seconds while the servers idle."""
+    limit, answers = ConcurrencyLimit(MANY_PROXIES), 0
+    limit.resize(8.0)
+    while limit.limit < 4 * limit.initial_limit:
         answers += 1
-        flow.out = ceil(flow.limit)
-        assert not flow.has_room(float(answers))  # it wants more
-        flow.ended(float(answers), 500.0, 0.4)
+        limit.in_flight = ceil(limit.limit)
+        assert not limit.has_capacity(float(answers))  # more requests are waiting
+        limit.record_end(float(answers), 500.0, 0.4)
     assert answers < 20  # about four rounds
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -1,4 +1,4 @@
-"""Clients that are not as the protocol has them: what they are owed, and that nobody else pays for it."""
+"""Misbehaving clients: the answers that they get, and that other clients and hosts are not affected."""
 
 from __future__ import annotations
 
@@ -27,9 +27,11 @@
 from cloverrouter.proxy.validity import Gate
 
 ID = "X-Request-ID: 1\r\n"
-OWED_S = 3.0  # within which an error or a close is owed
-# With so much time, only what a test does can end a request.
-PATIENT = {"categories": [{**c, "aim_ms": 120_000, "deadline_ms": 120_000} for c in SETTINGS["categories"]]}
+ANSWER_LIMIT_S = 3.0  # within which an error or a close has to follow
+# Deadlines so long that only the test's own actions end a request.
+LONG_DEADLINES = {
+    "categories": [{**c, "aim_ms": 120_000, "deadline_ms": 120_000} for c in SETTINGS["categories"]]
+}
 
 
 async def fleet(*responds: Any) -> tuple[Discovery, list[Host]]:
@@ -37,8 +39,8 @@
     return await Discovery().start(), hosts
 
 
-async def end_of(client: Client) -> bytes:
-    """All that comes until the connection's end."""
+async def read_to_end(client: Client) -> bytes:
+    """Read everything until the connection ends."""
     async with asyncio.timeout(LONG_S):
         try:
             return await client.reader.read()
@@ -51,8 +53,8 @@
 
 
 CHUNKED = "Transfer-Encoding: chunked\r\n"
-HIDDEN = b"0\r\n\r\n" + post("/unsafe", "X-Request-ID: hidden\r\n")
-BAD: dict[str, tuple[bytes, int]] = {
+SMUGGLED = b"0\r\n\r\n" + post("/unsafe", "X-Request-ID: hidden\r\n")
+INVALID_REQUESTS: dict[str, tuple[bytes, int]] = {
     "noise": (b"\x00\xff\x13 nonsense\r\n\r\n", 400),
     "no version": (b"GET /safe\r\n\r\n", 400),
     "later version": (f"GET /safe HTTP/2.0\r\n{ID}\r\n".encode(), 400),
@@ -80,11 +82,11 @@
     ),
     "length too short": (f"POST /unsafe HTTP/1.1\r\n{ID}Content-Length: 2\r\n\r\nabcdef\r\n".encode(), 400),
     "length, then chunked": (
-        f"POST /unsafe HTTP/1.1\r\n{ID}Content-Length: {len(HIDDEN)}\r\n{CHUNKED}\r\n".encode() + HIDDEN,
+        f"POST /unsafe HTTP/1.1\r\n{ID}Content-Length: {len(SMUGGLED)}\r\n{CHUNKED}\r\n".encode() + SMUGGLED,
         400,
     ),
     "chunked, then length": (
-        f"POST /unsafe HTTP/1.1\r\n{ID}{CHUNKED}Content-Length: {len(HIDDEN)}\r\n\r\n".encode() + HIDDEN,
+        f"POST /unsafe HTTP/1.1\r\n{ID}{CHUNKED}Content-Length: {len(SMUGGLED)}\r\n\r\n".encode() + SMUGGLED,
         400,
     ),
     "other coding": (f"POST /unsafe HTTP/1.1\r\n{ID}Transfer-Encoding: gzip, chunked\r\n\r\n".encode(), 400),
@@ -102,17 +104,17 @@
 }
 
 
-def test_bad_request_gets_an_error_and_goes_no_further() -> None:
+def test_invalid_request_is_answered_with_an_error_and_not_forwarded() -> None:
     async def scene() -> None:
         discovery, hosts = await fleet(answer_ok)
         async with running(discovery, hosts) as proxy:
-            for name, (data, status) in BAD.items():
+            for name, (data, status) in INVALID_REQUESTS.items():
                 begun = time.monotonic()
                 client = await proxy.client()
                 client.writer.write(data)
                 assert (await client.read()).status == status, name
-                assert await end_of(client) == b"", name  # the connection ends with it
-                assert time.monotonic() - begun < OWED_S, name
+                assert await read_to_end(client) == b"", name  # the connection ends with it
+                assert time.monotonic() - begun < ANSWER_LIMIT_S, name
                 client.writer.close()
             assert not hosts[0].seen
             assert (await (await proxy.client()).ask("/unsafe")).status == 200
@@ -120,13 +122,13 @@
     asyncio.run(scene())
 
 
-def test_bad_request_byte_by_byte() -> None:
+def test_invalid_request_sent_byte_by_byte() -> None:
     async def scene() -> None:
         discovery, hosts = await fleet(answer_ok)
         async with running(discovery, hosts) as proxy:
             for name in ("two ids", "length, then chunked", "chunked, then length", "unknown class"):
                 client = await proxy.client()
-                data, status = BAD[name]
+                data, status = INVALID_REQUESTS[name]
                 for i in range(len(data)):
                     client.writer.write(data[i : i + 1])
                     await asyncio.sleep(0)
@@ -137,10 +139,10 @@
     asyncio.run(scene())
 
 
-def test_id_of_an_open_request_is_turned_away() -> None:
+def test_duplicate_id_of_an_open_request_is_rejected() -> None:
     async def scene() -> None:
         discovery, hosts = await fleet(never)
-        async with running(discovery, hosts, settings=PATIENT) as proxy:
+        async with running(discovery, hosts, settings=LONG_DEADLINES) as proxy:
             first = await proxy.client()
             data = post("/unsafe", "X-Request-ID: same\r\n")
             first.writer.write(data)
@@ -153,17 +155,17 @@
             hosts[0].open[1].write(ok(b"for the first"))
             assert (await first.read()).body == b"for the first"
             assert len(hosts[0].seen) == 1
-            again = await proxy.client()  # its end frees the id: a client may have to send again
+            again = await proxy.client()  # the id is free again: a client may have to retry
             again.writer.write(data)
             assert (await again.read()).status == 200
 
     asyncio.run(scene())
 
 
-def test_id_of_a_request_that_waits_is_turned_away() -> None:
+def test_duplicate_id_of_a_queued_request_is_rejected() -> None:
     async def scene() -> None:
         discovery, hosts = await fleet(never)
-        async with running(discovery, hosts, settings=PATIENT) as proxy:
+        async with running(discovery, hosts, settings=LONG_DEADLINES) as proxy:
             client = await proxy.client()
             client.writer.write(
                 post("/unsafe", "X-Request-ID: one\r\n") + post("/unsafe", "X-Request-ID: two\r\n")
@@ -176,41 +178,41 @@
     asyncio.run(scene())
 
 
-def test_error_behind_an_open_call_does_not_wait_for_it() -> None:
+def test_parse_error_behind_an_open_call_is_answered_at_once() -> None:
     async def scene() -> None:
         discovery, hosts = await fleet(never)
-        async with running(discovery, hosts, settings=PATIENT) as proxy:
+        async with running(discovery, hosts, settings=LONG_DEADLINES) as proxy:
             client = await proxy.client()
             client.send("/unsafe")
             await hosts[0].wait(lambda: len(hosts[0].seen) == 1)
             begun = time.monotonic()
             client.writer.write(b"\x00 noise\r\n\r\n")
             assert (await client.read()).status == 400
-            assert time.monotonic() - begun < OWED_S
+            assert time.monotonic() - begun < ANSWER_LIMIT_S
             await hosts[0].wait(lambda: not hosts[0].open)  # the call was withdrawn
 
     asyncio.run(scene())
 
 
-def test_hundreds_of_requests_at_once_are_not_queued() -> None:
+def test_hundreds_of_pipelined_requests_are_rejected() -> None:
     async def scene() -> None:
         discovery, hosts = await fleet(answer_ok)
         async with running(discovery, hosts) as proxy:
             client = await proxy.client()
             client.writer.write(b"".join(post("/unsafe", f"X-Request-ID: {i}\r\n") for i in range(300)))
             assert (await client.read()).status == 429
-            assert await end_of(client) == b""
-            assert not hosts[0].seen  # 429 says that trying again is harmless
+            assert await read_to_end(client) == b""
+            assert not hosts[0].seen  # 429 tells the client that a retry is safe
 
     asyncio.run(scene())
 
 
-def test_too_much_behind_an_open_call_does_not_refuse_what_may_have_run() -> None:
-    """The error is the answer to the open call, and 429 would be a refusal: it may be sent again then."""
+def test_too_much_pipelined_behind_an_open_call_is_not_answered_429() -> None:
+    """The error answers the open call, which may have run; 429 would be a refusal and allow a retry."""
 
     async def scene() -> None:
         discovery, hosts = await fleet(never)
-        async with running(discovery, hosts, settings=PATIENT) as proxy:
+        async with running(discovery, hosts, settings=LONG_DEADLINES) as proxy:
             for before, (body, count) in enumerate(((b"", 40), (b"x" * 60_000, 9))):
                 client = await proxy.client()
                 client.send("/unsafe")
@@ -219,13 +221,13 @@
                 many = (post("/unsafe", f"X-Request-ID: {len(body)}-{i}\r\n", body) for i in range(count))
                 client.writer.write(b"".join(many))
                 assert (await client.read()).status == 400
-                assert await end_of(client) == b""
+                assert await read_to_end(client) == b""
                 assert len(hosts[0].seen) == before + 1
 
     asyncio.run(scene())
 
 
-def test_waiting_call_has_its_time_from_its_last_byte() -> None:
+def test_deadline_of_a_queued_call_starts_at_its_last_byte() -> None:
     async def slow(seen: Seen, writer: Any) -> None:
         await asyncio.sleep(0.5)
         writer.write(ok())
@@ -237,35 +239,35 @@
             client.send("/unsafe", timeout_ms=2000)
             client.send("/unsafe", timeout_ms=400)
             assert (await client.read()).status == 200
-            assert (await client.read()).status == 503  # over before its turn came
+            assert (await client.read()).status == 503  # expired before it was dispatched
             assert len(hosts[0].seen) == 1
 
     asyncio.run(scene())
 
 
-# Time
+# Time limits
 
 
-def test_half_a_request_and_a_silent_connection_end_in_time() -> None:
+def test_incomplete_requests_and_silent_connections_time_out() -> None:
     async def scene() -> None:
         discovery, hosts = await fleet(answer_ok)
         async with running(discovery, hosts) as proxy:
             begun = time.monotonic()
-            halves = [b"POST /unsafe HT", post("/unsafe", ID, b"0123456789")[:-3]]
+            partial_requests = [b"POST /unsafe HT", post("/unsafe", ID, b"0123456789")[:-3]]
             clients = [await proxy.client() for _ in range(4)]
-            for client, data in zip(clients, halves, strict=False):
+            for client, data in zip(clients, partial_requests, strict=False):
                 client.writer.write(data)
-            dribbling = clients[2]
-            dribbling.writer.write(b"GET /safe HTTP/1.1\r\n")
-            ends = asyncio.gather(*(end_of(client) for client in clients))
+            slow_client = clients[2]
+            slow_client.writer.write(b"GET /safe HTTP/1.1\r\n")
+            ends = asyncio.gather(*(read_to_end(client) for client in clients))
             while not ends.done():
                 try:
-                    dribbling.writer.write(b"A: b\r\n")
+                    slow_client.writer.write(b"A: b\r\n")
                 except ConnectionError:
                     break
                 await asyncio.sleep(0.1)
             got = await ends
-            assert time.monotonic() - begun < OWED_S
+            assert time.monotonic() - begun < ANSWER_LIMIT_S
             assert [answer.split(b"\r\n")[0] for answer in got] == [b"HTTP/1.1 408 Request Timeout"] * 3 + [
                 b""
             ]
@@ -273,7 +275,7 @@
     asyncio.run(scene())
 
 
-def test_usual_connection_outlives_a_pause() -> None:
+def test_keep_alive_connection_survives_3_s_without_requests() -> None:
     async def scene() -> None:
         discovery, hosts = await fleet(answer_ok)
         async with running(discovery, hosts) as proxy:
@@ -286,7 +288,7 @@
     asyncio.run(scene())
 
 
-def test_sixty_megabytes_are_swallowed_and_the_error_stays_readable() -> None:
+def test_client_reads_the_413_while_it_sends_sixty_megabytes() -> None:
     async def scene() -> None:
         discovery, hosts = await fleet(answer_ok)
         async with running(discovery, hosts) as proxy:
@@ -309,7 +311,7 @@
         return int(file.read().split()[1]) * 4096 / 1e6
 
 
-def test_answers_that_nobody_reads_are_bounded_and_end() -> None:
+def test_unread_answers_are_bounded_and_time_out() -> None:
     async def big(seen: Seen, writer: Any) -> None:
         writer.write(ok(b"y" * 60_000))
 
@@ -320,9 +322,9 @@
             client.writer.transport.pause_reading()  # type: ignore[attr-defined]
             for i in range(1000):
                 client.writer.write(post("/unsafe", f"X-Request-ID: {i}\r\n"))
-                with suppress(ConnectionError):  # it may end between the two
+                with suppress(ConnectionError):  # the connection may end between the two calls
                     await client.writer.drain()
-                if i % 8 == 7:  # no more at once than may wait
+                if i % 8 == 7:  # stay below the limit on queued calls
                     await asyncio.sleep(0.01)
                 if client.writer.transport.is_closing():
                     break
@@ -334,48 +336,51 @@
 
 
 async def descriptors_of_clients(proxy: Proxy) -> int:
-    """Connections that the program holds on its listening port."""
+    """Return how many established connections the proxy has on its listening port.
+
+    While other sockets open and close, /proc/net/tcp may list a socket twice.
+    """
     host, port = proxy.address.split(":")
-    at = "".join(f"{int(part):02X}" for part in reversed(host.split("."))) + f":{int(port):04X}"
+    address_hex = "".join(f"{int(part):02X}" for part in reversed(host.split("."))) + f":{int(port):04X}"
     with open("/proc/net/tcp") as file:
         lines = [line.split() for line in file.readlines()[1:]]
-    return sum(line[1] == at and line[3] == "01" for line in lines)
+    return len({line[2] for line in lines if line[1] == address_hex and line[3] == "01"})
 
 
 # Descriptors
 
 
-def test_silent_connections_give_way() -> None:
-    """The limit is 256 descriptors: more connections than that must not keep a client out."""
+def test_silent_connections_are_evicted() -> None:
+    """The limit is 256 descriptors; more silent connections than that must not block a new client."""
 
     async def scene() -> None:
         discovery, hosts = await fleet(answer_ok)
         async with running(discovery, hosts) as proxy:
-            asked = await proxy.client()
-            assert (await asked.ask("/unsafe")).status == 200
+            idle_client = await proxy.client()
+            assert (await idle_client.ask("/unsafe")).status == 200
             silent = [await proxy.client() for _ in range(400)]
             client = await proxy.client()
             assert (await client.ask("/unsafe")).status == 200
             assert await descriptors_of_clients(proxy) <= 128
-            # The oldest silent ones went, not those that have asked.
-            assert (await asked.ask("/unsafe")).status == 200
-            assert await end_of(silent[0]) == b""
+            # The oldest silent ones were evicted, not those that have sent a request.
+            assert (await idle_client.ask("/unsafe")).status == 200
+            assert await read_to_end(silent[0]) == b""
             for one in silent:
                 one.writer.close()
 
     asyncio.run(scene())
 
 
-class Patient:
+class NeverAnsweringHandler:
     """A handler that never answers."""
 
     def __init__(self) -> None:
         self.calls: list[Call] = []
 
-    def arrived(self, call: Call) -> None:
+    def call_received(self, call: Call) -> None:
         self.calls.append(call)
 
-    def gone(self, call: Call) -> None:
+    def disconnected(self, call: Call) -> None:
         self.calls.remove(call)
 
     def is_open(self, request_id: bytes) -> bool:
@@ -385,9 +390,9 @@
         return True
 
 
-def test_connections_beyond_the_limit_end_at_once() -> None:
+def test_connections_beyond_the_limit_are_closed_at_once() -> None:
     async def scene() -> None:
-        handler = Patient()
+        handler = NeverAnsweringHandler()
         frontend = Frontend(Gate(handler, {"unsafe": Idempotency.UNSAFE}, time.monotonic), 10)
         address = await frontend.listen(("127.0.0.1", 0))
         clients: list[Client] = []
@@ -398,35 +403,35 @@
                 while len(handler.calls) <= i:
                     await asyncio.sleep(0)
         begun = time.monotonic()
-        for _ in range(20):  # all are busy: none of them is to make room
-            assert await end_of(Client(*await asyncio.open_connection(*address))) == b""
-        assert time.monotonic() - begun < OWED_S
+        for _ in range(20):  # all are busy, so none of them may be evicted
+            assert await read_to_end(Client(*await asyncio.open_connection(*address))) == b""
+        assert time.monotonic() - begun < ANSWER_LIMIT_S
         assert len(handler.calls) == 10
         frontend.close()
 
     asyncio.run(scene())
 
 
-def test_connections_that_asked_once_and_stay_are_freed_at_once() -> None:
+def test_connections_kept_open_after_one_request_are_closed() -> None:
     async def scene() -> None:
         discovery, hosts = await fleet(answer_ok)
         async with running(discovery, hosts) as proxy:
-            stay, ended = [], 0
+            kept_open, ended = [], 0
             for _ in range(60):
                 client = await proxy.client()
-                got = await client.ask("/unsafe")
-                assert got.status == 200
-                if got.headers.get("connection") == "close":
-                    assert await end_of(client) == b""
+                answer = await client.ask("/unsafe")
+                assert answer.status == 200
+                if answer.headers.get("connection") == "close":
+                    assert await read_to_end(client) == b""
                     ended += 1
-                stay.append(client)
+                kept_open.append(client)
             assert ended > 30
             assert await descriptors_of_clients(proxy) < 30
 
     asyncio.run(scene())
 
 
-def test_sigterm_answers_what_waits_on_a_connection() -> None:
+def test_sigterm_answers_queued_requests_of_a_connection() -> None:
     async def slow(seen: Seen, writer: Any) -> None:
         await asyncio.sleep(0.3)
         writer.write(ok(seen.message.body))
@@ -440,7 +445,7 @@
             await hosts[0].wait(lambda: len(hosts[0].seen) == 1)
             proxy.process.send_signal(signal.SIGTERM)
             assert [(await client.read()).body for _ in range(3)] == [b"0", b"1", b"2"]
-            assert await end_of(client) == b""
+            assert await read_to_end(client) == b""
             assert await proxy.ended() == 0
 
     asyncio.run(scene())
--- a/tests/test_footprint.py
+++ b/tests/test_footprint.py
@@ -1,4 +1,4 @@
-"""What is off costs nothing: without an operators' file `run` loads what it always did."""
+"""Disabled extensions cost nothing: without an operators' file, none of their modules is imported."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 import pytest
 
 from cloverrouter.lab.peers import Discovery, Host, Proxy, running
-from tests.standins.appliance import boxed
+from tests.standins.appliance import running_appliance
 
-DIRECTIONS = (
+EXTENSIONS = (
     "site", "roster", "control", "console", "demo", "vrrp", "compose", "seams", "cli", "lab", "strict",
     "http3", "logs", "leases", "rights", "datagrams", "post",
 )  # fmt: skip
@@ -22,14 +22,14 @@
 )  # fmt: skip
 
 
-def modules(log: str) -> set[str]:
-    """The names that `-X importtime` has written."""
+def imported_modules(log: str) -> set[str]:
+    """Return the module names in the output of `-X importtime`."""
     return {line.rpartition("|")[2].strip() for line in log.splitlines() if line.startswith("import time:")}
 
 
-# What `run` may load beside asyncio, which takes most of a start: each module more is paid for by every proxy
-# of a fleet that restarts at once, divided by its part of a core.
-BESIDE_ASYNCIO = {
+# Modules that the proxy may import in addition to asyncio, which takes most of the startup time. Each further
+# one delays every proxy of a fleet that restarts at once, each on a fraction of a core.
+ALLOWED_MODULES = {
     "__future__", "_bisect", "_json", "_random", "_sha512", "bisect", "copy", "dataclasses", "fcntl", "gc",
     "httptools", "importlib", "json", "org", "pkgutil", "random", "resource", "runpy", "zlib",
 }  # fmt: skip
@@ -40,7 +40,7 @@
     return int(next(line for line in lines if line.startswith("VmRSS")).split()[1])
 
 
-def test_without_a_file_no_direction_and_no_further_library_is_loaded() -> None:
+def test_without_a_file_no_extension_and_no_further_library_is_imported() -> None:
     async def scene() -> None:
         hosts, discovery = [await Host("h0").start()], await Discovery().start()
         command = [sys.executable, "-X", "importtime", "-m", "cloverrouter.proxy"]
@@ -49,28 +49,30 @@
             assert (await client.ask("/keyed")).status == 200
             proxy.process.terminate()
             assert await proxy.ended() == 0
-            loaded = modules(proxy.log())
-            assert "cloverrouter.proxy.node" in loaded  # the list is there
-            ours = {name for name in loaded if name.startswith("cloverrouter.")}
-            assert not [name for name in ours if name.split(".")[1] in DIRECTIONS]
-            assert "cloverrouter.proxy.tally" not in ours
+            loaded = imported_modules(proxy.log())
+            assert "cloverrouter.proxy.node" in loaded  # the import log was read
+            own = {name for name in loaded if name.startswith("cloverrouter.")}
+            assert not [name for name in own if name.split(".")[1] in EXTENSIONS]
+            assert "cloverrouter.proxy.tally" not in own
             assert not [name for name in loaded if name.split(".")[0] in LIBRARIES]
-            bare = [
+            asyncio_command = [
                 sys.executable,
                 "-X",
                 "importtime",
                 "-c",
                 "import sys; sys.modules['ssl'] = None; import asyncio",
             ]
-            usual = modules(subprocess.run(bare, capture_output=True, text=True, check=True).stderr)
-            more = {name.split(".")[0] for name in loaded - usual - ours} - {"cloverrouter"}
-            assert more <= BESIDE_ASYNCIO, f"loaded on top: {sorted(more - BESIDE_ASYNCIO)}"
+            with_asyncio = imported_modules(
+                subprocess.run(asyncio_command, capture_output=True, text=True, check=True).stderr
+            )
+            added = {name.split(".")[0] for name in loaded - with_asyncio - own} - {"cloverrouter"}
+            assert added <= ALLOWED_MODULES, f"also imported: {sorted(added - ALLOWED_MODULES)}"
 
     asyncio.run(scene())
 
 
 @pytest.mark.parametrize("site", ["", "site.toml"])
-def test_what_needs_tls_finds_it_and_the_collector_runs_once_all_is_loaded(site: str) -> None:
+def test_tls_is_available_with_a_file_and_garbage_collection_is_on_after_the_imports(site: str) -> None:
     code = (
         "import gc, sys; from cloverrouter.proxy.__main__ import main; code = main(); "
         "import asyncio.sslproto as tls, ssl; "
@@ -83,12 +85,12 @@
     assert done.stdout.split() == ["2", "True", "True", str(bool(site))]
 
 
-def test_without_a_file_it_takes_less_memory_than_with_one() -> None:
+def test_proxy_without_a_file_uses_less_memory_than_one_with_a_file() -> None:
     async def scene() -> None:
         hosts, discovery = [await Host("h0").start()], await Discovery().start()
-        async with running(discovery, hosts) as proxy, boxed(hosts) as (_, boxed_proxy, _):
-            for each in (proxy, boxed_proxy):
-                client = await each.client()
+        async with running(discovery, hosts) as proxy, running_appliance(hosts) as (_, boxed_proxy, _):
+            for current in (proxy, boxed_proxy):
+                client = await current.client()
                 for _ in range(50):
                     assert (await client.ask("/keyed")).status == 200
             assert rss_kb(proxy) < rss_kb(boxed_proxy)
--- a/tests/test_hosts.py
+++ b/tests/test_hosts.py
@@ -1,4 +1,4 @@
-"""Hosts whose answers come spoilt, or bring more than belongs to them: nothing is ever mixed up."""
+"""Malformed answers, and extra data behind answers: no answer is given to the wrong request."""
 
 from __future__ import annotations
 
@@ -31,13 +31,13 @@
 from cloverrouter.proxy.messages import Answer
 from cloverrouter.proxy.node import Node
 from cloverrouter.proxy.server_connection import ServerConnection
-from cloverrouter.proxy.server_pool import SETTLE_S
+from cloverrouter.proxy.server_pool import REUSE_DELAY_S
 from cloverrouter.proxy.upstream import Upstream
 from tests.test_upstream import FakeCall, full_listener, until
 
-ANSWERED_TWICE, MOST_PLAYS = 12, 20
+ANSWERED_TWICE, MAX_RUNS = 12, 20
 OK = b"HTTP/1.1 200 OK\r\n"
-SPOILT: dict[str, bytes] = {
+MALFORMED: dict[str, bytes] = {
     "noise": b"\x16\x03\x01\x00 what is this\r\n\r\n",
     "no version": b"200 OK\r\nContent-Length: 2\r\n\r\nab",
     "other version": b"HTTP/3.0 200 OK\r\nContent-Length: 2\r\n\r\nab",
@@ -71,11 +71,11 @@
 
 
 @pytest.mark.parametrize("size", [1 << 20, 1], ids=["one read", "byte by byte"])
-def test_spoilt_answer_has_run_and_ends_the_attempt_at_once(size: int) -> None:
+def test_malformed_answer_ends_the_attempt_at_once_as_one_that_has_run(size: int) -> None:
     async def scene() -> None:
         host = await Host("h").start()
         upstream = Upstream(8, 60_000, 1000)
-        for name, data in SPOILT.items():
+        for name, data in MALFORMED.items():
             ends: list[Outcome] = []
             host.respond = in_pieces(data, size)
             begun = time.monotonic()
@@ -87,26 +87,26 @@
             )
             await until(lambda: ends)  # noqa: B023
             assert ends == [Outcome.SPOILT], name
-            assert time.monotonic() - begun < 10, name  # the host's connection stays open
-            await host.wait(lambda: not host.open)  # ours does not: it is of no further use
+            assert time.monotonic() - begun < 10, name  # while the host keeps its connection open
+            await host.wait(lambda: not host.open)  # until the proxy closes it
         await until(lambda: upstream.open == 0)
 
     asyncio.run(scene())
 
 
-def test_spoilt_answer_is_a_failure_to_the_client_and_sent_once() -> None:
+def test_request_with_a_malformed_answer_fails_and_is_sent_once() -> None:
     async def scene() -> None:
         host, discovery = await Host("h").start(), await Discovery().start()
         async with running(discovery, [host]) as proxy:
             client = await proxy.client()
-            for name, data in SPOILT.items():
+            for name, data in MALFORMED.items():
                 if name == "large chunks":
-                    continue  # passed on as it comes: tests/test_long.py
+                    continue  # streamed, see tests/test_long.py
                 host.respond = raw(data)
                 before = len(host.seen)
                 begun = time.monotonic()
                 assert (await client.ask("/unsafe")).status == 502
-                assert time.monotonic() - begun < 1.2  # at once, not at its aim of 1.5 s
+                assert time.monotonic() - begun < 1.2  # at once, not at the aim of 1.5 s
                 assert len(host.seen) == before + 1
             host.respond = answer_ok
             assert (await client.ask("/unsafe")).status == 200
@@ -124,7 +124,7 @@
 
 
 @pytest.mark.parametrize("size", [1 << 20, 1], ids=["one read", "byte by byte"])
-def test_good_answer_is_served_whatever_comes_with_it(size: int) -> None:
+def test_valid_answer_is_served_despite_extra_data(size: int) -> None:
     async def scene() -> None:
         host = await Host("h").start()
         upstream = Upstream(8, 60_000, 1000)
@@ -145,9 +145,11 @@
 
 
 async def answered_twice(delay_s: float) -> tuple[list[bytes], int]:
-    """Ask some requests, each of which is answered again after `delay_s`: the answers they got, and how many
-    of these have no copy before them that came too late. Both sides are in this process, and a busy machine
-    stops it between an answer and its copy."""
+    """Send requests that are each answered twice, the second time after `delay_s`.
+
+    Returns the answers, and the number of those before the first copy that was sent too late: both sides run
+    in this process, and a busy machine may pause it between an answer and its copy.
+    """
     host = await Host("h").start()
     upstream = Upstream(8, 60_000, 1000)
     late_copies: list[int] = []
@@ -158,7 +160,7 @@
         writer.write(ok(b"%d" % number))
         await asyncio.sleep(delay_s)
         writer.write(ok(b"%d" % number))
-        if time.monotonic() - answered_s >= SETTLE_S:
+        if time.monotonic() - answered_s >= REUSE_DELAY_S:
             late_copies.append(number)
 
     host.respond = twice
@@ -169,7 +171,7 @@
 
     def ended(outcome: Outcome, answer: Answer | None) -> None:
         got.append(answer.body if outcome is Outcome.OK and answer is not None else outcome.name.encode())
-        if len(got) < ANSWERED_TWICE:  # at once, as the module does when requests wait
+        if len(got) < ANSWERED_TWICE:  # at once, as the balancer does when requests are queued
             ask()
 
     ask()
@@ -179,14 +181,14 @@
 
 @pytest.mark.parametrize("delay_s", [0.0, 0.001])
 def test_late_second_copy_is_not_taken_for_the_next_answer(delay_s: float) -> None:
-    """A connection rests for `SETTLE_S` before its next use. Only what has no later copy before it is judged;
-    that is done as often as it takes to judge as many answers as one run has."""
-    judged: list[int] = []
-    while sum(judged) < ANSWERED_TWICE:
-        assert len(judged) < MOST_PLAYS, f"too many copies came late: {judged} answers could be judged"
-        got, judgeable = asyncio.run(answered_twice(delay_s))
-        assert got[:judgeable] == [b"%d" % (i + 1) for i in range(judgeable)]
-        judged.append(judgeable)
+    """A connection is reused only after `REUSE_DELAY_S`. Answers behind a copy that was sent too late are not
+    checked; the test is repeated until as many answers are checked as one run has."""
+    checked: list[int] = []
+    while sum(checked) < ANSWERED_TWICE:
+        assert len(checked) < MAX_RUNS, f"too many copies were sent late: {checked} answers could be checked"
+        got, checkable = asyncio.run(answered_twice(delay_s))
+        assert got[:checkable] == [b"%d" % (i + 1) for i in range(checkable)]
+        checked.append(checkable)
 
 
 def test_unread_copy_keeps_a_connection_from_being_used_again() -> None:
@@ -201,8 +203,8 @@
         (connection,) = upstream.connections
         sock = host.open[1].get_extra_info("socket")
         socket.socket.send(socket.socket(fileno=socket.dup(sock.fileno())), b"noise")
-        # Nothing has been read in between: the loop did not run.
-        assert not connection.clean()
+        # Nothing was read in between, since the loop did not run.
+        assert not connection.is_clean()
         upstream.send(host_id, FakeCall(), 2000, lambda outcome, _: ends.append(outcome))
         await until(lambda: len(ends) == 2)
         assert ends == [Outcome.OK] * 2 and host.connections == 2
@@ -227,10 +229,10 @@
     asyncio.run(scene())
 
 
-# Sockets that are given back, however an attempt ends
+# Release of sockets at the end of attempts
 
 
-def test_given_up_before_its_first_step_an_attempt_gives_its_socket_back() -> None:
+def test_attempt_abandoned_before_its_first_step_releases_its_socket() -> None:
     async def scene() -> None:
         listener, _fillers = full_listener()
         upstream = Upstream(8, 60_000, 20_000)
@@ -250,11 +252,11 @@
     ("at", "number", "outcome"),
     [
         ("socket", errno.EMFILE, Outcome.NOT_SENT),
-        ("create", errno.EMFILE, Outcome.NOT_SENT),  # wherever it shows, it is not the host's lack
+        ("create", errno.EMFILE, Outcome.NOT_SENT),  # a local limit, at whichever call it shows
         ("create", errno.ECONNABORTED, Outcome.CONNECT_FAILED),
     ],
 )
-def test_attempt_ends_when_no_socket_is_to_be_had(
+def test_attempt_ends_if_no_socket_can_be_created(
     at: str, number: int, outcome: Outcome, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scene() -> None:
@@ -280,21 +282,21 @@
     asyncio.run(scene())
 
 
-# What is believed, against what passes on the sockets
+# The state of the node and the balancer compared with the sockets
 
 
 SETTINGS = Settings(
     (
         RequestClass("unsafe", 1500, 3000, idempotency=Idempotency.UNSAFE),
-        RequestClass("keyed", 1500, 3000, idempotency=Idempotency.KEYED, repeat_window_ms=3000),
+        RequestClass("keyed", 1500, 3000, idempotency=Idempotency.KEYED, idempotency_window_ms=3000),
     )
 )
 
 
-def test_after_all_has_ended_nothing_is_believed_to_be_under_way() -> None:
+def test_nothing_counts_as_in_flight_after_all_requests_have_ended() -> None:
     async def scene() -> None:
         good, bad = await Host("good").start(), await Host("bad", never).start()
-        kinds = [answer_ok, raw(SPOILT["noise"]), raw(ok() * 2), never]
+        kinds = [answer_ok, raw(MALFORMED["noise"]), raw(ok() * 2), never]
 
         async def varied(seen: Seen, writer: asyncio.StreamWriter) -> None:
             await kinds[len(good.seen) % len(kinds)](seen, writer)
@@ -317,32 +319,32 @@
                 call.class_name = ("unsafe", "keyed")[i % 2]
                 call.request_id = b"%d-%d" % (turn, i)
                 calls.append(call)
-                node.arrived(call)
+                node.call_received(call)
                 if i % 5 == 0:
-                    node.gone(call)
+                    node.disconnected(call)
                 await asyncio.sleep(0.002)
             await until(lambda: not node.busy and not node._requests)
-            # One answer each, but for those that left before there was one.
+            # One answer each, except for clients that disconnected before it.
             assert all(
                 len(call.given) == 1 or (i % 5 == 0 and not call.given) for i, call in enumerate(calls)
             )
-            module = node._balancer
-            assert not module.requests and not node._ids and not node._by_call
-            assert [e.in_flight for e in module.membership.endpoints.values()] == [0, 0]
-            assert module.flow.out == 0
-            await asyncio.sleep(0.3)  # timers of the last requests
-            assert not module.held or all(entry[2].done for entry in module.held)
+            balancer = node._balancer
+            assert not balancer.requests and not node._ids and not node._by_call
+            assert [e.in_flight for e in balancer.membership.endpoints.values()] == [0, 0]
+            assert balancer.concurrency_limit.in_flight == 0
+            await asyncio.sleep(0.3)  # for the timers of the last requests
+            assert not balancer.queue or all(entry[2].done for entry in balancer.queue)
             gc.collect()
             alive = sum(isinstance(o, ServerConnection) for o in gc.get_objects())
             assert alive == len(upstream.connections)
-            sizes.append((len(upstream._pools), len(module.membership.endpoints), len(node._addresses)))
+            sizes.append((len(upstream._pools), len(balancer.membership.endpoints), len(node._addresses)))
         assert set(sizes[1:]) == {sizes[-1]}
         assert not crashes
 
     asyncio.run(scene())
 
 
-def test_spoilt_answers_pause_no_server() -> None:
+def test_malformed_answers_pause_no_server() -> None:
     balancer = Balancer(SETTINGS, 1)
     balancer.handle(0.0, [EndpointsListed(ListKind.FULL, (ListedEndpoint("a"), ListedEndpoint("b")))])
     sent: set[str] = set()
@@ -351,22 +353,22 @@
         (send,) = [a for a in actions if isinstance(a, Send)]
         sent.add(send.endpoint)
         balancer.handle(i * 100.0 + 50, [AttemptEnded(i, 0, Outcome.SPOILT, 50.0)])
-        assert all(e.has_room(i * 100.0 + 51) for e in balancer.membership.ready)
+        assert all(e.has_capacity(i * 100.0 + 51) for e in balancer.membership.ready)
     assert sent == {"a", "b"}
 
 
-def broken_at(failures: int, outcome: Outcome) -> bool:
-    """Is the only server left out after so many attempts in a row that ended so?"""
+def paused_after(failures: int, outcome: Outcome) -> bool:
+    """Whether the only server is paused after this number of consecutive attempts with this outcome."""
     balancer = Balancer(SETTINGS, 1)
     balancer.handle(0.0, [EndpointsListed(ListKind.FULL, (ListedEndpoint("a"),))])
     for i in range(1, failures + 1):
         balancer.handle(i * 2.0, [RequestArrived(i, "unsafe", i * 2.0 + 1000)])
         balancer.handle(i * 2.0 + 1, [AttemptEnded(i, 0, outcome, 1.0)])
-    return not balancer.membership.ready[0].has_room(failures * 2.0 + 1)
+    return not balancer.membership.ready[0].has_capacity(failures * 2.0 + 1)
 
 
 def test_one_broken_connection_pauses_no_server_but_two_in_a_row_do() -> None:
     for outcome in (Outcome.RESET, Outcome.CONNECT_FAILED):
-        assert not broken_at(1, outcome)
-        assert broken_at(2, outcome)
-    assert broken_at(1, Outcome.ERROR) and broken_at(1, Outcome.REJECTED)
+        assert not paused_after(1, outcome)
+        assert paused_after(2, outcome)
+    assert paused_after(1, Outcome.ERROR) and paused_after(1, Outcome.REJECTED)
--- a/tests/test_known.py
+++ b/tests/test_known.py
@@ -1,4 +1,4 @@
-"""Lists that come again: entries that are known are kept, whatever the lists say."""
+"""Reading repeated lists: entries that have not changed are reused."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from cloverrouter.proxy.discovery import Watch
 
 
-def told(random: Random, most: int = 8) -> dict[str, Any]:
+def random_message(random: Random, most: int = 8) -> dict[str, Any]:
     servers = [
         {
             "id": f"s-{random.randrange(most)}",
@@ -29,23 +29,23 @@
     return {"version": random.randrange(100), "full": random.random() < 0.3, "servers": servers}
 
 
-def test_lists_say_the_same_with_entries_known_and_without() -> None:
+def test_lists_read_the_same_with_and_without_known_entries() -> None:
     clock = UnixClock()
     for seed in range(300):
         random, known = Random(seed), dict[str, HostEntry]()
-        there: set[str] = set()
+        listed: set[str] = set()
         for _ in range(12):
-            message = told(random)
+            message = random_message(random)
             found = read_list(message, clock, known)
             assert found == read_list(message, clock), seed
-            there = set() if found.full else there
+            listed = set() if found.full else listed
             for entry in found.entries:
-                (there.discard if entry.address is None else there.add)(entry.listed.name)
-            assert known.keys() == there, seed  # bounded by what is listed
+                (listed.discard if entry.address is None else listed.add)(entry.listed.name)
+            assert known.keys() == listed, seed  # bounded by what is listed
             assert all(known[name].listed.name == name for name in known)
 
 
-def test_of_a_whole_list_that_comes_again_only_what_changed_is_new() -> None:
+def test_repeated_full_list_creates_only_the_changed_entries() -> None:
     clock, known = UnixClock(), dict[str, HostEntry]()
     servers = [{"id": f"s-{i}", "addr": f"127.0.0.1:{4000 + i}", "state": "active"} for i in range(100)]
     first = read_list({"version": 1, "full": True, "servers": servers}, clock, known)
@@ -58,32 +58,32 @@
     assert len(known) == 50
 
 
-def test_a_spoilt_list_leaves_what_is_known_as_it_was() -> None:
+def test_malformed_list_leaves_the_known_entries_unchanged() -> None:
     clock, known = UnixClock(), dict[str, HostEntry]()
     server = {"id": "s-1", "addr": "127.0.0.1:4000", "state": "active"}
     read_list({"version": 1, "full": True, "servers": [server]}, clock, known)
     before = dict(known)
-    spoilt = [{**server, "state": "left"}, {"id": "s-2", "addr": "nowhere", "state": "active"}]
+    malformed = [{**server, "state": "left"}, {"id": "s-2", "addr": "nowhere", "state": "active"}]
     with pytest.raises(ValueError):
-        read_list({"version": 2, "full": True, "servers": spoilt}, clock, known)
+        read_list({"version": 2, "full": True, "servers": malformed}, clock, known)
     assert known == before
 
 
-def test_a_watch_keeps_the_entries_that_it_resumed_with() -> None:
+def test_watch_reuses_the_entries_that_it_resumed_with() -> None:
     async def scene() -> None:
         discovery, clock = await Discovery().start(), UnixClock()
         server = {"id": "s-1", "addr": "127.0.0.1:4000", "state": "active"}
         message = {"version": 2, "full": True, "servers": [server]}
-        discovery.broken = [ok(json.dumps(message).encode())]
+        discovery.broken_answers = [ok(json.dumps(message).encode())]
         before = read_list(message, clock)
         found: asyncio.Queue[HostList] = asyncio.Queue()
         watch = Watch(("127.0.0.1", discovery.port), clock, False, found.put_nowait, lambda: None)
         watch.resume(1, before.entries)
         watch.start()
         async with asyncio.timeout(LONG_S):
-            told = await found.get()
+            received = await found.get()
         watch.stop()
-        assert told.full and told.entries[0] is before.entries[0]
+        assert received.full and received.entries[0] is before.entries[0]
         discovery.server.close()
 
     asyncio.run(scene())
--- a/tests/test_known_red_list.py
+++ b/tests/test_known_red_list.py
@@ -1,4 +1,4 @@
-"""``KNOWN-RED.txt`` at the root names tests of this suite."""
+"""``KNOWN-RED.txt`` in the root directory names only tests of this suite."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 def test_each_line_names_a_test(request: pytest.FixtureRequest) -> None:
-    """In a run of the whole suite; of a part of it only what was collected can be looked up."""
+    """A run of part of the suite only checks that the files exist, because it does not collect all tests."""
     tests = [item.nodeid for item in request.session.items]
     entries = read()
-    # Danger: a line whose test was renamed would pass over nothing, and say so nowhere.
+    # A line whose test was renamed would otherwise match nothing, without any notice.
     if request.config.args_source is not pytest.Config.ArgsSource.ARGS:
         assert unknown(entries, tests) == []
     for entry in entries:
--- a/tests/test_listed.py
+++ b/tests/test_listed.py
@@ -1,4 +1,4 @@
-"""What the node does with a list: its addresses, who keeps a connection, who is connected to ahead."""
+"""How the node applies a list: addresses, which connections are kept, which hosts are preconnected."""
 
 from __future__ import annotations
 
@@ -18,21 +18,21 @@
 
 
 class Carrier:
-    """Remembers what it was told of hosts; it is connected to some of them."""
+    """Records the calls of the node; `connected` are the hosts with a connection."""
 
     def __init__(self) -> None:
         self.connected: list[Host] = []
         self.opened: list[Host] = []
         self.kept: AbstractSet[Host] = set()
 
-    def send(self, *told: Any) -> Any:
+    def send(self, *arguments: Any) -> Any:
         raise AssertionError("nothing is sent")
 
     def keep_only(self, wanted: AbstractSet[Host]) -> None:
         self.connected = [host for host in self.connected if host in wanted]
         self.kept = wanted
 
-    def open_ahead(self, host: Host) -> None:
+    def preconnect(self, host: Host) -> None:
         self.opened.append(host)
 
 
@@ -51,7 +51,7 @@
     return HostEntry(listed, None if state is EndpointState.GONE else ("127.0.0.1", port))
 
 
-class Unwalked(AbstractSet[Host]):
+class NotIterable(AbstractSet[Host]):
     def __init__(self, known: dict[str, Address]) -> None:
         self._known = known
 
@@ -59,7 +59,7 @@
         return isinstance(host, tuple) and self._known.get(host[0]) == host[1]
 
     def __iter__(self) -> Iterator[Host]:
-        raise AssertionError("all that is known was walked over")
+        raise AssertionError("iterated over all known addresses")
 
     def __len__(self) -> int:
         return len(self._known)
@@ -67,17 +67,17 @@
 
 class Addresses(dict[str, Address]):
     def __iter__(self) -> Iterator[str]:
-        raise AssertionError("all that is known was walked over")
+        raise AssertionError("iterated over all known addresses")
 
     def items(self) -> Any:
-        return Unwalked(self)
+        return NotIterable(self)
 
 
-def test_a_list_of_changes_touches_only_those_that_it_names() -> None:
+def test_list_of_changes_visits_only_the_named_hosts() -> None:
     node, carrier = node_of(1)
     every = tuple(entry(f"s-{i}", 4000 + i) for i in range(4096))
     node.listed(ListKind.FULL, HostList(1, True, every))
-    assert not carrier.opened  # a first list names who has long been there
+    assert not carrier.opened  # hosts of the first list are not new
     node._addresses = Addresses(node._addresses)
     carrier.connected = [("s-7", ("127.0.0.1", 4007)), ("s-8", ("127.0.0.1", 4008))]
     node.listed(ListKind.DELTA, HostList(2, False, ()))
@@ -89,29 +89,45 @@
     assert len(carrier.kept) == 4096
 
 
-def test_whatever_the_lists_say_the_same_are_kept_and_opened_as_by_comparing_all_of_them() -> None:
+def test_new_hosts_are_preconnected_in_the_order_of_the_list() -> None:
+    node, carrier = node_of(1)
+    node.listed(ListKind.FULL, HostList(1, True, (entry("old", 4000), entry("s-7", 4001))))
+    hosts: list[Host] = [(f"s-{i}", ("127.0.0.1", 5000 + i)) for i in range(12)]
+    changes = tuple(entry(name, port) for name, (_, port) in hosts)
+    node.listed(ListKind.DELTA, HostList(2, False, (*changes, entry("old", 4000))))
+    assert carrier.opened == hosts  # one of them at another address than before
+    carrier.opened.clear()
+    others: list[Host] = [(f"t-{i}", ("127.0.0.1", 6000 + i)) for i in range(12)]
+    every = (*(entry(name, port) for name, (_, port) in others), *changes)
+    node.listed(ListKind.FULL, HostList(3, True, every))
+    assert carrier.opened == others
+
+
+def test_same_hosts_are_kept_and_preconnected_as_by_a_full_comparison() -> None:
     for seed in range(200):
         random = Random(seed)
         node, carrier = node_of(random.choice((1, 40)))
         known: dict[str, Address] = {}
         for version in range(1, 12):
             kind = random.choice((ListKind.DELTA, ListKind.DELTA, ListKind.FULL, ListKind.RESTORED))
-            told = [
+            changes = [
                 entry(f"s-{random.randrange(6)}", 4000 + random.randrange(2), random.choice(STATES))
                 for _ in range(random.randrange(8))
             ]
             before = dict(known)
             if kind is not ListKind.DELTA:
                 known.clear()
-            for one in told:
+            for one in changes:
                 if one.listed.state is EndpointState.READY and one.address is not None:
                     known[one.listed.name] = one.address
                 else:
                     known.pop(one.listed.name, None)
             carrier.opened.clear()
-            node.listed(kind, HostList(version, kind is not ListKind.DELTA, tuple(told)))
+            node.listed(kind, HostList(version, kind is not ListKind.DELTA, tuple(changes)))
             ahead = (
-                set(known.items()) - set(before.items()) if before and not node._balancer.crowded else set()
+                set(known.items()) - set(before.items())
+                if before and not node._balancer.many_proxies
+                else set()
             )
             assert set(carrier.opened) == ahead and len(carrier.opened) == len(ahead), seed
             assert set(carrier.kept) == set(known.items()), seed
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""The log as JSON: each line one object, events with stable names, whatever it is told."""
+"""The JSON log: each line is one object and events have stable names, whatever values are logged."""
 
 from __future__ import annotations
 
@@ -12,32 +12,34 @@
 import pytest
 
 from cloverrouter.lab.peers import Host
-from cloverrouter.logs.direction import MOST_TEXT, Formatter
-from tests.standins.appliance import boxed
+from cloverrouter.logs.direction import MAX_TEXT_CHARS, JsonFormatter
+from tests.standins.appliance import running_appliance
 
 
 def line(message: str, *args: object, **extra: Any) -> dict[str, Any]:
     record = logging.makeLogRecord({"msg": message, "args": args, "levelname": "INFO", "name": "x", **extra})
-    found: dict[str, Any] = json.loads(Formatter("n0", "life").format(record))
+    found: dict[str, Any] = json.loads(JsonFormatter("n0", "life").format(record))
     assert found["proxy"] == "n0" and found["life"] == "life" and found["boot_s"] > 0
     return found
 
 
-def endless() -> list[Any]:
+def self_referencing_list() -> list[Any]:
     found: list[Any] = []
     found.append(found)
     return found
 
 
-@pytest.mark.parametrize("value", [b"\xff", {1, 2}, object(), 2**70, float("nan"), {("a", 1): 2}, endless()])
-def test_whatever_an_event_is_told_is_a_line(value: object) -> None:
+@pytest.mark.parametrize(
+    "value", [b"\xff", {1, 2}, object(), 2**70, float("nan"), {("a", 1): 2}, self_referencing_list()]
+)
+def test_event_with_any_field_value_is_written_as_a_line(value: object) -> None:
     found = line("", event="task", fields={"value": value, "task": "t"})
     assert found["event"] == "task" and found["fields"]
 
 
-def test_text_that_does_not_fit_and_long_texts_are_lines() -> None:
+def test_unformattable_and_long_texts_are_written_as_lines() -> None:
     assert "does not fit" in line("%d %d", "one")["text"]
-    assert len(line("%s", "x" * 100_000)["text"]) == MOST_TEXT
+    assert len(line("%s", "x" * 100_000)["text"]) == MAX_TEXT_CHARS
     assert line("a\nb")["text"] == "a\nb" and line("a")["event"] == "log"
     try:
         raise ValueError("why")
@@ -45,16 +47,20 @@
         assert "ValueError: why" in line("failed", exc_info=sys.exc_info())["error"]
 
 
-def test_proxy_writes_one_object_a_line_and_its_events() -> None:
+def test_proxy_writes_one_object_per_line_with_its_events() -> None:
     async def scene() -> None:
-        async with boxed([await Host("h0").start()], control="[log]\nenabled = true") as (box, proxy, _):
+        async with running_appliance([await Host("h0").start()], control="[log]\nenabled = true") as (
+            box,
+            proxy,
+            _,
+        ):
             proxy.signal(signal.SIGSTOP)
             await asyncio.sleep(0.6)
             proxy.signal(signal.SIGCONT)
-            await (await box.line()).result("status")
+            await (await box.connect()).result("status")
             await proxy.logged('"event":"standing"')
             lines = [json.loads(text) for text in proxy.log().splitlines()]
-            assert {"log", "standing"} <= {told["event"] for told in lines}
-            assert [told for told in lines if told.get("text", "").startswith("control: listens at")]
+            assert {"log", "standing"} <= {entry["event"] for entry in lines}
+            assert [entry for entry in lines if entry.get("text", "").startswith("control: listens at")]
 
     asyncio.run(scene())
--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -1,4 +1,4 @@
-"""Long bodies and answers: passed on as they come, within bounds, and told exactly as what they were."""
+"""Long request bodies and answers: streamed within memory limits, and reported with their true outcome."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     Outcome,
     Refuse,
     RequestArrived,
-    RequestWhole,
+    RequestCompleted,
     Send,
     StreamStarted,
 )
@@ -39,16 +39,16 @@
     running,
 )
 from cloverrouter.proxy import server_connection
-from cloverrouter.proxy.keeping import MOST_EACH, Keeping
-from cloverrouter.proxy.messages import MAX_BODY, MOST_BODY, Upload
+from cloverrouter.proxy.keeping import MAX_BUFFERED_BODY_BYTES, BufferBudget
+from cloverrouter.proxy.messages import MAX_BODY_BYTES, STREAMING_THRESHOLD_BYTES, Upload
 from cloverrouter.proxy.upstream import Upstream
 from cloverrouter.values import replace
-from cloverrouter.view import believed
+from cloverrouter.view import balancer_view
 from tests.driver import SAFE, SETTINGS, UNSAFE, Driver
 from tests.test_upstream import FakeCall, until
 
-LONG = os.urandom(3 << 20)
-LARGE = 24 << 20
+LONG_BODY = os.urandom(3 << 20)
+LARGE_BYTES = 24 << 20
 
 
 @asynccontextmanager
@@ -74,27 +74,30 @@
 @pytest.mark.parametrize(
     "answer",
     [
-        ok(LONG),
-        b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked(LONG),
-        b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + LONG,
-        b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nCONTENT-LENGTH: %d \r\n\r\n" % len(LONG) + LONG,
+        ok(LONG_BODY),
+        b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked(LONG_BODY),
+        b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + LONG_BODY,
+        b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nCONTENT-LENGTH: %d \r\n\r\n" % len(LONG_BODY)
+        + LONG_BODY,
     ],
     ids=["length", "chunks", "to the end", "interim ahead"],
 )
-@pytest.mark.parametrize("size", [len(LONG), MAX_BODY + 1, MAX_BODY, 5])
-def test_answer_of_any_framing_and_size_comes_whole(answer: bytes, size: int) -> None:
-    body = LONG[:size]
-    if size < len(LONG):
-        head, _, _ = answer.rpartition(b"\r\n\r\n" + LONG)
+@pytest.mark.parametrize(
+    "size", [len(LONG_BODY), STREAMING_THRESHOLD_BYTES + 1, STREAMING_THRESHOLD_BYTES, 5]
+)
+def test_answer_of_any_framing_and_size_is_complete(answer: bytes, size: int) -> None:
+    body = LONG_BODY[:size]
+    if size < len(LONG_BODY):
+        head, _, _ = answer.rpartition(b"\r\n\r\n" + LONG_BODY)
         if b"chunked" in answer:
             answer = answer.partition(b"\r\n\r\n")[0] + b"\r\n\r\n" + chunked(body)
         else:
-            answer = head.replace(b"%d" % len(LONG), b"%d" % size) + b"\r\n\r\n" + body
+            answer = head.replace(b"%d" % len(LONG_BODY), b"%d" % size) + b"\r\n\r\n" + body
 
     async def scene() -> None:
         async with scene_with(raw(answer, close=b"Connection: close" in answer)) as (proxy, hosts):
             client = await proxy.client()
-            for _ in range(2):  # the connections go on being of use
+            for _ in range(2):  # the connections stay usable
                 got = await client.ask("/unsafe")
                 assert (got.status, got.body) == (200, body)
             assert len(hosts[0].seen) == 2
@@ -102,34 +105,38 @@
     asyncio.run(scene())
 
 
-def test_client_of_http_1_0_gets_a_long_answer_up_to_its_end() -> None:
+def test_http_1_0_client_gets_a_long_answer_delimited_by_close() -> None:
     async def scene() -> None:
-        answer = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked(LONG)
+        answer = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked(LONG_BODY)
         async with scene_with(raw(answer)) as (proxy, _):
             client = await proxy.client()
             client.writer.write(b"POST /unsafe HTTP/1.0\r\nX-Request-ID: 1\r\nContent-Length: 0\r\n\r\n")
             head, _, body = (await client.reader.read()).partition(b"\r\n\r\n")
-            assert b"chunked" not in head and body == LONG
+            assert b"chunked" not in head and body == LONG_BODY
 
     asyncio.run(scene())
 
 
 @pytest.mark.parametrize("framing", ["length", "chunks", "to the end"])
-def test_answer_cut_off_under_way_is_recognised_and_not_sent_again(framing: str) -> None:
-    head = {"length": f"Content-Length: {len(LONG)}", "chunks": "Transfer-Encoding: chunked",
+def test_truncated_answer_is_detected_and_not_retried(framing: str) -> None:
+    head = {"length": f"Content-Length: {len(LONG_BODY)}", "chunks": "Transfer-Encoding: chunked",
             "to the end": "Connection: close"}[framing]  # fmt: skip
-    part = chunked(LONG)[: len(LONG) // 2] if framing == "chunks" else LONG[: len(LONG) // 2]
+    part = (
+        chunked(LONG_BODY)[: len(LONG_BODY) // 2] if framing == "chunks" else LONG_BODY[: len(LONG_BODY) // 2]
+    )
 
-    async def breaks(seen: Seen, writer: asyncio.StreamWriter) -> None:
+    async def truncate(seen: Seen, writer: asyncio.StreamWriter) -> None:
         writer.write(f"HTTP/1.1 200 OK\r\n{head}\r\n\r\n".encode() + part)
         await writer.drain()
         await asyncio.sleep(0.2)
         sock = writer.get_extra_info("socket")
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))  # as if it had died
+        sock.setsockopt(
+            socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0)
+        )  # RST, as from a crashed host
         writer.transport.abort()
 
     async def scene() -> None:
-        async with scene_with(breaks, breaks) as (proxy, hosts):
+        async with scene_with(truncate, truncate) as (proxy, hosts):
             client = await proxy.client()
             client.send("/keyed")
             with pytest.raises(asyncio.IncompleteReadError):
@@ -140,7 +147,7 @@
     asyncio.run(scene())
 
 
-def test_answer_with_no_end_is_cut_off() -> None:
+def test_endless_answer_is_truncated() -> None:
     async def endless(seen: Seen, writer: asyncio.StreamWriter) -> None:
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         while not writer.is_closing():
@@ -157,13 +164,13 @@
     asyncio.run(scene())
 
 
-def test_slow_reader_of_a_large_answer_costs_little_memory_and_no_host_its_standing() -> None:
+def test_slow_readers_of_large_answers_take_little_memory_and_no_capacity() -> None:
     async def large(seen: Seen, writer: asyncio.StreamWriter) -> None:
         if seen.message.body != b"large":
             await answer_ok(seen, writer)
             return
-        writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % LARGE)
-        for _ in range(LARGE >> 16):
+        writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % LARGE_BYTES)
+        for _ in range(LARGE_BYTES >> 16):
             writer.write(bytes(1 << 16))
             await writer.drain()
 
@@ -175,13 +182,13 @@
             for client in readers:
                 client.send("/unsafe", body=b"large")
                 await client.reader.readuntil(b"\r\n\r\n")
-            await asyncio.sleep(1.0)  # nobody reads
-            # Four that do not read take none of the one host's room.
+            await asyncio.sleep(1.0)  # none of the four reads
+            # Streams that are not read don't count against the concurrency limit of the only host.
             begun = time.monotonic()
             assert (await (await proxy.client()).ask("/unsafe")).status == 200
             assert time.monotonic() - begun < 1.0
             for client in readers:
-                assert len(await client.reader.readexactly(LARGE)) == LARGE
+                assert len(await client.reader.readexactly(LARGE_BYTES)) == LARGE_BYTES
             assert resident_mb(proxy) - before < 8
 
     asyncio.run(scene())
@@ -190,10 +197,13 @@
 # Bodies
 
 
-@pytest.mark.parametrize("size", [len(LONG), MOST_EACH + 1, MOST_EACH, MAX_BODY + 1])
+@pytest.mark.parametrize(
+    "size",
+    [len(LONG_BODY), MAX_BUFFERED_BODY_BYTES + 1, MAX_BUFFERED_BODY_BYTES, STREAMING_THRESHOLD_BYTES + 1],
+)
 @pytest.mark.parametrize("with_length", [True, False])
-def test_body_of_any_size_comes_whole_in_pieces_of_any_size(size: int, with_length: bool) -> None:
-    body = LONG[:size]
+def test_body_of_any_size_arrives_complete(size: int, with_length: bool) -> None:
+    body = LONG_BODY[:size]
 
     async def scene() -> None:
         async with scene_with(answer_ok) as (proxy, hosts):
@@ -211,54 +221,56 @@
     asyncio.run(scene())
 
 
-def test_body_that_was_held_is_sent_again_and_one_passed_on_is_not() -> None:
+def test_buffered_body_is_retried_and_streamed_one_is_not() -> None:
     async def scene() -> None:
-        turned = raw(b"HTTP/1.1 503 S\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n")
-        async with scene_with(turned, turned) as (proxy, hosts):
+        rejected = raw(b"HTTP/1.1 503 S\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n")
+        async with scene_with(rejected, rejected) as (proxy, hosts):
             client = await proxy.client()
-            assert (await client.ask("/keyed", body=LONG[:MOST_EACH])).status == 503
-            tried = sum(len(host.seen) for host in hosts)
-            assert tried > 1
-            assert {seen.message.body for host in hosts for seen in host.seen} == {LONG[:MOST_EACH]}
+            assert (await client.ask("/keyed", body=LONG_BODY[:MAX_BUFFERED_BODY_BYTES])).status == 503
+            attempts = sum(len(host.seen) for host in hosts)
+            assert attempts > 1
+            assert {seen.message.body for host in hosts for seen in host.seen} == {
+                LONG_BODY[:MAX_BUFFERED_BODY_BYTES]
+            }
             client = await proxy.client()
-            assert (await client.ask("/keyed", body=LONG)).status == 503  # it never ran
-            assert sum(len(host.seen) for host in hosts) == tried + 1
+            assert (await client.ask("/keyed", body=LONG_BODY)).status == 503  # it never ran
+            assert sum(len(host.seen) for host in hosts) == attempts + 1
 
     asyncio.run(scene())
 
 
 @pytest.mark.parametrize(("respond", "status"), [(reset, 502), (never, 502)], ids=["reset", "silent"])
-def test_passed_on_whole_it_may_have_run(respond: object, status: int) -> None:
+def test_request_with_a_completely_streamed_body_may_have_run(respond: object, status: int) -> None:
     async def scene() -> None:
         async with scene_with(respond, respond) as (proxy, hosts):
             client = await proxy.client()
             begun = time.monotonic()
-            assert (await client.ask("/keyed", body=LONG, timeout_ms=600)).status == status
-            assert time.monotonic() - begun < 5  # its time runs from the last byte on
+            assert (await client.ask("/keyed", body=LONG_BODY, timeout_ms=600)).status == status
+            assert time.monotonic() - begun < 5  # its deadline starts at the last byte
             assert sum(len(host.seen) for host in hosts) == 1
 
     asyncio.run(scene())
 
 
-def test_host_that_breaks_before_the_last_byte_has_not_run_it() -> None:
+def test_host_that_disconnects_before_the_last_byte_has_not_run_it() -> None:
     async def scene() -> None:
-        server = await asyncio.start_server(breaks_early, "127.0.0.1", 0)
+        server = await asyncio.start_server(disconnect_early, "127.0.0.1", 0)
         host = Host("h")
         host.port = server.sockets[0].getsockname()[1]
         async with running(await Discovery().start(), [host]) as proxy:
             client = await proxy.client()
-            client.send("/unsafe", body=LONG * 4)
-            await asyncio.sleep(2.0)  # what it still sends must not overtake the answer
+            client.send("/unsafe", body=LONG_BODY * 4)
+            await asyncio.sleep(2.0)  # input that follows must not cause a reset that loses the answer
             assert (await client.read()).status == 503
 
-    async def breaks_early(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await reader.readexactly(MAX_BODY)
+    async def disconnect_early(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        await reader.readexactly(STREAMING_THRESHOLD_BYTES)
         writer.transport.abort()
 
     asyncio.run(scene())
 
 
-def test_client_that_leaves_or_stalls_under_way_ends_the_attempt() -> None:
+def test_client_that_disconnects_or_stalls_during_upload_ends_the_attempt() -> None:
     async def scene() -> None:
         connected = asyncio.Queue[asyncio.StreamReader]()
 
@@ -275,8 +287,8 @@
                 client = await proxy.client()
                 client.writer.write(
                     b"POST /unsafe HTTP/1.1\r\nX-Request-ID: %d\r\nContent-Length: %d\r\n\r\n"
-                    % (leaves, len(LONG))
-                    + LONG[: len(LONG) // 2]
+                    % (leaves, len(LONG_BODY))
+                    + LONG_BODY[: len(LONG_BODY) // 2]
                 )
                 reader = await connected.get()
                 if leaves:
@@ -290,13 +302,13 @@
     asyncio.run(scene())
 
 
-def test_many_large_bodies_at_once_stay_within_memory() -> None:
+def test_concurrent_large_bodies_take_little_memory() -> None:
     async def scene() -> None:
-        digest = hashlib.sha256(bytes(LARGE)).hexdigest()
+        digest = hashlib.sha256(bytes(LARGE_BYTES)).hexdigest()
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
-            got, left = hashlib.sha256(), LARGE
+            got, left = hashlib.sha256(), LARGE_BYTES
             while left:
                 data = await reader.read(min(left, 100_000))
                 got.update(data)
@@ -314,9 +326,9 @@
                 client = await proxy.client()
                 client.writer.write(
                     b"POST /unsafe HTTP/1.1\r\nX-Request-ID: %d\r\nContent-Length: %d\r\n\r\n"
-                    % (id(client), LARGE)
+                    % (id(client), LARGE_BYTES)
                 )
-                for _ in range(LARGE >> 16):
+                for _ in range(LARGE_BYTES >> 16):
                     client.writer.write(bytes(1 << 16))
                     await client.writer.drain()
                 assert (await client.read()).body == digest.encode()
@@ -327,15 +339,15 @@
     asyncio.run(scene())
 
 
-def test_body_over_all_bounds_is_turned_away_at_once() -> None:
+def test_body_over_the_size_limit_is_rejected() -> None:
     async def scene() -> None:
         async with scene_with(answer_ok) as (proxy, hosts):
-            for framing in (f"Content-Length: {MOST_BODY + 1}", "Transfer-Encoding: chunked"):
+            for framing in (f"Content-Length: {MAX_BODY_BYTES + 1}", "Transfer-Encoding: chunked"):
                 client = await proxy.client()
                 head = f"POST /unsafe HTTP/1.1\r\nX-Request-ID: 1\r\n{framing}\r\n\r\n"
                 client.writer.write(head.encode())
                 if "chunked" in framing:
-                    for _ in range(MOST_BODY >> 20):
+                    for _ in range(MAX_BODY_BYTES >> 20):
                         client.writer.write(b"100000\r\n" + bytes(1 << 20) + b"\r\n")
                         await client.writer.drain()
                     client.writer.write(b"1\r\nx\r\n")
@@ -345,7 +357,7 @@
     asyncio.run(scene())
 
 
-def test_slow_head_and_body_are_waited_for() -> None:
+def test_slow_head_and_body_are_accepted() -> None:
     async def scene() -> None:
         async with scene_with(answer_ok) as (proxy, hosts):
             client = await proxy.client()
@@ -353,7 +365,7 @@
             for piece in (head, b"Content-Length: 300000\r\n", b"\r\n"):
                 client.writer.write(piece)
                 await asyncio.sleep(0.6)
-            for _ in range(60):  # 64 kB a second: longer than a head is given, and than any deadline
+            for _ in range(60):  # 64 kB a second: takes longer than the limit for a head and any deadline
                 client.writer.write(b"x" * 5000)
                 await asyncio.sleep(0.075)
             assert (await client.read()).status == 200
@@ -362,16 +374,16 @@
     asyncio.run(scene())
 
 
-def test_client_that_leaves_under_a_long_answer_frees_its_host() -> None:
+def test_client_that_disconnects_during_a_long_answer_frees_its_host() -> None:
     async def endless(seen: Seen, writer: asyncio.StreamWriter) -> None:
-        writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % LARGE + LONG)
+        writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % LARGE_BYTES + LONG_BODY)
         await asyncio.sleep(0)
 
     async def scene() -> None:
         async with scene_with(endless) as (proxy, hosts):
             client = await proxy.client()
             client.send("/unsafe")
-            await client.reader.readexactly(MAX_BODY)
+            await client.reader.readexactly(STREAMING_THRESHOLD_BYTES)
             client.writer.transport.abort()
             async with asyncio.timeout(5):
                 await hosts[0].wait(lambda: not hosts[0].open)
@@ -380,42 +392,48 @@
 
 
 @pytest.mark.parametrize("answers", [True, False], ids=["half an answer", "no reading"])
-def test_host_that_stops_under_way_is_given_up(answers: bool, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Of a long answer nothing more comes, or of a long body nothing more is read."""
-    monkeypatch.setattr(server_connection, "STALL_S", 0.3)
-    cuts: list[str] = []
+def test_attempt_on_a_stalled_host_is_aborted(answers: bool, monkeypatch: pytest.MonkeyPatch) -> None:
+    """The host stops sending a long answer, or stops reading a long body."""
+    monkeypatch.setattr(server_connection, "STALL_TIMEOUT_S", 0.3)
+    stream_ends: list[str] = []
 
-    class Taker:
+    class RecordingSink:
         on_ready: Callable[[], None] | None = None
 
         def write(self, data: bytes) -> bool:
             return True
 
         def finish(self) -> None:
-            cuts.append("finished")
+            stream_ends.append("finished")
 
-        def cut(self) -> None:
-            cuts.append("cut")
+        def abort(self) -> None:
+            stream_ends.append("cut")
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         if answers:
             await reader.readuntil(b"\r\n\r\n")
-            writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(LONG) + LONG[:200_000])
+            writer.write(
+                b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(LONG_BODY) + LONG_BODY[:200_000]
+            )
         await asyncio.sleep(60)
 
     async def scene() -> None:
         server = await asyncio.start_server(serve, "127.0.0.1", 0, limit=1024)
         port = server.sockets[0].getsockname()[1]
-        carrier, call, ends = Upstream(8, 60_000, 1000), FakeCall(), list[Outcome]()
+        carrier, call, outcomes = Upstream(8, 60_000, 1000), FakeCall(), list[Outcome]()
         if not answers:
-            call.upload = Upload(LARGE, lambda: None, lambda: None)
-            call.upload.feed(bytes(LARGE - 1))
+            call.upload = Upload(LARGE_BYTES, lambda: None, lambda: None)
+            call.upload.feed(bytes(LARGE_BYTES - 1))
         carrier.send(
-            ("h", ("127.0.0.1", port)), call, 2000, lambda end, _: ends.append(end), lambda _: Taker()
+            ("h", ("127.0.0.1", port)),
+            call,
+            2000,
+            lambda end, _: outcomes.append(end),
+            lambda _: RecordingSink(),
         )
-        await until(lambda: ends)
-        assert ends == [Outcome.SPOILT if answers else Outcome.CONNECT_FAILED]
-        assert cuts == (["cut"] if answers else [])
+        await until(lambda: outcomes)
+        assert outcomes == [Outcome.SPOILT if answers else Outcome.CONNECT_FAILED]
+        assert stream_ends == (["cut"] if answers else [])
 
     asyncio.run(scene())
 
@@ -424,48 +442,48 @@
 
 
 @given(st.lists(st.tuples(st.integers(0, 3), st.one_of(st.none(), st.integers(0, 600_000))), max_size=60))
-def test_what_is_held_stays_within_the_budget_and_all_is_given_back(
+def test_buffered_bytes_stay_within_the_budget_and_are_released(
     steps: list[tuple[int, int | None]],
 ) -> None:
-    keeping, claims = Keeping(300_000), dict.fromkeys(range(4), 0)
-    for who, length in steps:
-        now = MAX_BODY + 1 if length is None else min(MAX_BODY + 1, length)
-        if keeping.may_hold(length, now, claims[who]):
-            if now > MAX_BODY:
-                claims[who] = keeping.claim(max(now, length or 0), claims[who])
+    budget, reservations = BufferBudget(300_000), dict.fromkeys(range(4), 0)
+    for connection, length in steps:
+        now = STREAMING_THRESHOLD_BYTES + 1 if length is None else min(STREAMING_THRESHOLD_BYTES + 1, length)
+        if budget.may_buffer(length, now, reservations[connection]):
+            if now > STREAMING_THRESHOLD_BYTES:
+                reservations[connection] = budget.reserve(max(now, length or 0), reservations[connection])
         else:
-            assert max(now, length or 0) > MAX_BODY  # what is short is held in any case
-            claims[who] = keeping.claim(0, claims[who])
-        assert 0 <= keeping.held == sum(claims.values()) <= keeping.budget
-    for claim in claims.values():
-        keeping.claim(0, claim)
-    assert keeping.held == 0
+            assert max(now, length or 0) > STREAMING_THRESHOLD_BYTES  # short bodies are always buffered
+            reservations[connection] = budget.reserve(0, reservations[connection])
+        assert 0 <= budget.reserved_bytes == sum(reservations.values()) <= budget.limit_bytes
+    for reservation in reservations.values():
+        budget.reserve(0, reservation)
+    assert budget.reserved_bytes == 0
 
 
-def test_rest_of_a_body_waits_for_its_sink_and_goes_on_in_order() -> None:
-    said: list[object] = []
+def test_rest_of_a_body_waits_for_its_sink_and_keeps_its_order() -> None:
+    events: list[object] = []
 
     class Sink:
-        room = True
+        has_capacity = True
 
-        def more(self, data: bytes) -> bool:
-            said.append(data)
-            return self.room
+        def write_body(self, data: bytes) -> bool:
+            events.append(data)
+            return self.has_capacity
 
-        def whole(self) -> None:
-            said.append("whole")
+        def finish_body(self) -> None:
+            events.append("whole")
 
-    upload = Upload(None, lambda: said.append("pause"), lambda: said.append("resume"))
+    upload = Upload(None, lambda: events.append("pause"), lambda: events.append("resume"))
     upload.feed(b"a")
     upload.feed(b"b")
     sink = Sink()
     upload.attach(sink)
-    sink.room = False
+    sink.has_capacity = False
     upload.feed(b"c")
-    upload.go_on()
+    upload.resume()
     upload.end()
-    upload.go_on()  # nothing more comes: nothing is to be resumed
-    assert said == ["pause", "pause", b"ab", "resume", b"c", "pause", "resume", "whole"]
+    upload.resume()  # no effect after the end of the body
+    assert events == ["pause", "pause", b"ab", "resume", b"c", "pause", "resume", "whole"]
 
 
 LIMITED = replace(SETTINGS, classes=(SAFE, UNSAFE))
@@ -475,36 +493,39 @@
     ("outcome", "final"),
     [(Outcome.CONNECT_FAILED, Refuse), (Outcome.REJECTED, Refuse), (Outcome.RESET, Fail)],
 )
-def test_body_that_is_gone_is_never_sent_twice(outcome: Outcome, final: type) -> None:
+def test_streamed_body_is_never_sent_twice(outcome: Outcome, final: type) -> None:
     driver = Driver(LIMITED)
-    first = driver.tell(RequestArrived(1, "safe", once=True, whole=False))
+    first = driver.dispatch(RequestArrived(1, "safe", single_attempt=True, complete=False))
     assert [type(a) for a in first if isinstance(a, Send)] == [Send]
-    # No time runs while it comes, and the server owes nothing yet.
+    # While the body is streamed, no deadline runs and the server has nothing to answer.
     driver.wait(5 * SAFE.deadline_ms)
-    assert all(e.in_flight == 0 and not e.silent for e in believed(driver.balancer, driver.now_ms).endpoints)
-    driver.tell(RequestWhole(1, driver.now_ms + 800))
-    assert sum(e.in_flight for e in believed(driver.balancer, driver.now_ms).endpoints) == 1
-    last = driver.tell(AttemptEnded(1, 0, outcome, 5.0))
+    assert all(
+        e.in_flight == 0 and not e.unresponsive
+        for e in balancer_view(driver.balancer, driver.now_ms).endpoints
+    )
+    driver.dispatch(RequestCompleted(1, driver.now_ms + 800))
+    assert sum(e.in_flight for e in balancer_view(driver.balancer, driver.now_ms).endpoints) == 1
+    last = driver.dispatch(AttemptEnded(1, 0, outcome, 5.0))
     assert [type(a) for a in last if isinstance(a, Send | Refuse | Fail)] == [final]
 
 
-def test_held_request_lives_by_its_own_time_from_its_last_byte_on() -> None:
+def test_deadline_of_a_queued_upload_starts_at_its_last_byte() -> None:
     driver = Driver(LIMITED, endpoints=())
-    driver.tell(RequestArrived(1, "safe", once=True, whole=False))
+    driver.dispatch(RequestArrived(1, "safe", single_attempt=True, complete=False))
     driver.wait(4 * SAFE.aim_ms)
     assert not [a for a in driver.log if isinstance(a, Refuse)]
-    driver.tell(RequestWhole(1, driver.now_ms + SAFE.deadline_ms))
+    driver.dispatch(RequestCompleted(1, driver.now_ms + SAFE.deadline_ms))
     driver.wait(2 * SAFE.aim_ms)
     assert [a.request_id for a in driver.log if isinstance(a, Refuse)] == [1]
 
 
-def test_server_whose_long_answer_is_read_slowly_is_neither_busy_nor_silent() -> None:
+def test_server_with_a_slowly_read_answer_is_neither_busy_nor_unresponsive() -> None:
     driver = Driver(LIMITED)
-    driver.tell(RequestArrived(1, "unsafe"))
+    driver.dispatch(RequestArrived(1, "unsafe"))
     driver.wait(20)
-    driver.tell(StreamStarted(1, 0, 20.0))
+    driver.dispatch(StreamStarted(1, 0, 20.0))
     driver.wait(60_000)
-    view = believed(driver.balancer, driver.now_ms)
+    view = balancer_view(driver.balancer, driver.now_ms)
     assert all(e.in_flight == 0 and e.healthy for e in view.endpoints)
-    driver.tell(AttemptEnded(1, 0, Outcome.OK, 20.0, answered=True))
-    assert all(e.in_flight == 0 for e in believed(driver.balancer, driver.now_ms).endpoints)
+    driver.dispatch(AttemptEnded(1, 0, Outcome.OK, 20.0, answered=True))
+    assert all(e.in_flight == 0 for e in balancer_view(driver.balancer, driver.now_ms).endpoints)
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -1,4 +1,4 @@
-"""The ordinary path: budget, backoff, two draws, deadline."""
+"""The usual path of a request: retry budget, backoff, choice of two servers, deadline."""
 
 from random import Random
 
@@ -7,6 +7,7 @@
 from cloverrouter.decide import Balancer, RetryBudget, backoff_ms
 from cloverrouter.interface import (
     AttemptEnded,
+    ClientDisconnected,
     EndpointsListed,
     EndpointState,
     Fail,
@@ -14,7 +15,6 @@
     Outcome,
     Refuse,
     RequestArrived,
-    RequestGone,
     Send,
     SetTimer,
     Subscribe,
@@ -24,7 +24,7 @@
 from tests.driver import SAFE, SETTINGS, Driver, delta, endpoint, full
 
 
-def test_budget_starts_full_pays_ten_retries_and_earns_one_a_success() -> None:
+def test_budget_starts_full_allows_ten_retries_and_gains_one_token_per_success() -> None:
     budget = RetryBudget()
     assert [budget.spend() for _ in range(11)] == [True] * 10 + [False]
     for _ in range(9):
@@ -34,7 +34,7 @@
     assert budget.spend()
 
 
-def test_budget_never_holds_more_than_its_capacity() -> None:
+def test_budget_never_exceeds_its_capacity() -> None:
     budget = RetryBudget()
     for _ in range(50):
         budget.earn()
@@ -50,7 +50,7 @@
     assert max(backoff_ms(1e9, random) for _ in range(10)) == 30_000
 
 
-def test_retry_waits_by_the_jitter_and_goes_elsewhere() -> None:
+def test_retry_waits_for_the_backoff_and_goes_to_another_server() -> None:
     driver = Driver()
     request, _ = driver.request()
     driver.end(request, Outcome.ERROR)
@@ -60,7 +60,7 @@
     assert first != second
 
 
-def test_retry_with_nowhere_else_goes_back() -> None:
+def test_retry_goes_to_the_same_server_if_it_is_the_only_one() -> None:
     driver = Driver(endpoints=[endpoint("only")])
     request, _ = driver.request()
     driver.end(request, Outcome.RESET)
@@ -68,7 +68,7 @@
     assert driver.sent[request] == ["only", "only"]
 
 
-def test_attempt_limit_ends_it() -> None:
+def test_request_fails_at_the_attempt_limit() -> None:
     driver = Driver(replace(SETTINGS, limits=replace(SETTINGS.limits, max_attempts=2)))
     request, _ = driver.request()
     driver.end(request, Outcome.ERROR)
@@ -111,7 +111,7 @@
     assert actions == [Refuse(request)]
 
 
-def test_two_draws_prefer_higher_payoff_over_in_flight() -> None:
+def test_choice_of_two_prefers_higher_payoff_per_in_flight() -> None:
     driver = Driver(endpoints=[endpoint("good"), endpoint("bad")])
     good = driver.balancer.membership.endpoints["good"]
     bad = driver.balancer.membership.endpoints["bad"]
@@ -123,26 +123,26 @@
     assert driver.sent[request] == ["bad"]  # 0.9 / 4 against 0.3
 
 
-def test_new_server_starts_at_the_others_mean() -> None:
+def test_new_server_starts_at_the_mean_of_the_others() -> None:
     driver = Driver(endpoints=[endpoint("s1"), endpoint("s2")])
     driver.serve(30)
     for name, earned in (("s1", 0.8), ("s2", 0.4)):
         driver.balancer.membership.endpoints[name].earned = earned
-    driver.tell(delta(endpoint("s3")))
+    driver.dispatch(delta(endpoint("s3")))
     assert driver.balancer.membership.endpoints["s3"].earned == pytest.approx(0.6)
 
 
-def test_no_server_holds_then_refuses_and_a_server_in_time_serves() -> None:
+def test_without_servers_requests_queue_then_are_refused_or_served_by_a_new_server() -> None:
     driver = Driver(endpoints=[])
     lost, actions = driver.request()
     assert actions == []
     assert driver.wait(2000) == [Refuse(lost)]
     saved, _ = driver.request()
     driver.wait(20)
-    assert driver.tell(full(endpoint("s1"))) == [Send(saved, "s1", 480.0)]
+    assert driver.dispatch(full(endpoint("s1"))) == [Send(saved, "s1", 480.0)]
 
 
-def test_draining_servers_count_as_none() -> None:
+def test_draining_servers_get_no_requests() -> None:
     driver = Driver(endpoints=[endpoint("s1", state=EndpointState.DRAINING)])
     request, actions = driver.request()
     assert actions == [] and driver.wait(2000) == [Refuse(request)]
@@ -153,12 +153,12 @@
     assert Subscribe() in balancer.handle(0, [full(endpoint("s1"))])
     failed = balancer.handle(10, [EndpointsListed(ListKind.FAILED)])
     timers = [a for a in failed if isinstance(a, SetTimer)]
-    assert len(timers) == 1 and timers[0].delay_ms <= SETTINGS.safety.must_ask_ms / 4
+    assert len(timers) == 1 and timers[0].delay_ms <= SETTINGS.safety.discovery_poll_ms / 4
     assert balancer.handle(10 + timers[0].delay_ms, [TimerFired(timers[0].token)]) == [Subscribe()]
 
 
-def test_same_events_same_actions() -> None:
-    def play() -> list[object]:
+def test_same_events_give_the_same_actions() -> None:
+    def run() -> list[object]:
         driver = Driver(seed=42)
         for i in range(40):
             request, _ = driver.request()
@@ -168,36 +168,38 @@
             driver.wait(100)
         return list(driver.log)
 
-    assert play() == play()
+    assert run() == run()
 
 
-def test_news_of_what_is_no_longer_held_is_ignored() -> None:
+def test_events_of_unknown_requests_attempts_and_timers_are_ignored() -> None:
     driver = Driver()
     request, _ = driver.request()
     driver.end(request, Outcome.OK)
-    assert driver.tell(AttemptEnded(request, 0, Outcome.ERROR, 5)) == []
-    assert driver.tell(AttemptEnded(999, 0, Outcome.OK, 5), RequestGone(999), TimerFired(12345)) == []
+    assert driver.dispatch(AttemptEnded(request, 0, Outcome.ERROR, 5)) == []
+    assert (
+        driver.dispatch(AttemptEnded(999, 0, Outcome.OK, 5), ClientDisconnected(999), TimerFired(12345)) == []
+    )
     other, _ = driver.request()
-    assert driver.tell(AttemptEnded(other, 7, Outcome.OK, -3)) == []
+    assert driver.dispatch(AttemptEnded(other, 7, Outcome.OK, -3)) == []
 
 
-def test_client_that_left_gets_nothing_more() -> None:
+def test_disconnected_client_gets_no_more_actions() -> None:
     driver = Driver()
     request, _ = driver.request()
-    driver.tell(RequestGone(request))
+    driver.dispatch(ClientDisconnected(request))
     assert driver.end(request, Outcome.ERROR) == []
     assert driver.wait(5000) == []
     assert not driver.balancer.requests
 
 
-def test_misuse_raises_value_error_with_the_reason() -> None:
+def test_invalid_input_raises_value_error_with_the_reason() -> None:
     driver = Driver()
     driver.request()
     with pytest.raises(ValueError, match="arrived twice"):
-        driver.tell(RequestArrived(1, "safe"))
+        driver.dispatch(RequestArrived(1, "safe"))
     driver.now_ms -= 1
     with pytest.raises(ValueError, match="time ran backwards"):
-        driver.tell()
+        driver.dispatch()
     with pytest.raises(ValueError, match="aim and deadline"):
         replace(SETTINGS, classes=(replace(SAFE, aim_ms=0),))
     with pytest.raises(ValueError, match="share a name"):
@@ -206,7 +208,7 @@
         replace(SETTINGS, proxies=0)
 
 
-def test_a_deadline_beyond_the_classs_is_kept_as_told() -> None:
+def test_a_deadline_longer_than_that_of_the_class_is_kept() -> None:
     driver = Driver(replace(SETTINGS, classes=(replace(SAFE, late_worth=0.5),)), [endpoint("s1")])
     _, actions = driver.request(deadline_ms=driver.now_ms + 3 * SAFE.deadline_ms)
     assert isinstance(actions[0], Send) and actions[0].timeout_ms == 3 * SAFE.deadline_ms
--- a/tests/test_overload_rules.py
+++ b/tests/test_overload_rules.py
@@ -1,43 +1,44 @@
-"""How long connections may be left in the listener's queue, and when the loop counts as overloaded."""
+"""Limits on deferring accept(2), and the rule by which the event loop counts as overloaded."""
 
 from __future__ import annotations
 
 import pytest
 
 from cloverrouter.proxy.accept_rules import (
-    DEFERRED_AGAIN_S,
-    MOST_DEFERRED_LONG_S,
-    MOST_DEFERRED_S,
+    DEFERRAL_INTERVAL_S,
+    MAX_DEFERRAL_AFTER_PAUSE_S,
+    MAX_DEFERRAL_S,
     AcceptDeferral,
 )
 from cloverrouter.proxy.overload import (
-    MOST_BEHIND_S,
-    MOST_RECOVERY_S,
+    MAX_DELAY_S,
+    MAX_RECOVERY_S,
     RECOVERY_SHARE,
     OverloadDetector,
 )
+from cloverrouter.proxy.wake import PauseDetector
 
 BEGIN_S = 100.0
 
 
-def test_accepting_waits_for_room_once_and_not_again_soon() -> None:
+def test_accepting_is_deferred_once_per_interval() -> None:
     deferral = AcceptDeferral()
-    assert deferral.allows(BEGIN_S) and deferral.allows(BEGIN_S + MOST_DEFERRED_S - 0.01)
-    for later_s in (MOST_DEFERRED_S + 0.001, 0.3, DEFERRED_AGAIN_S - 0.01):
+    assert deferral.allows(BEGIN_S) and deferral.allows(BEGIN_S + MAX_DEFERRAL_S - 0.01)
+    for later_s in (MAX_DEFERRAL_S + 0.001, 0.3, DEFERRAL_INTERVAL_S - 0.01):
         assert not deferral.allows(BEGIN_S + later_s)
-    assert deferral.allows(BEGIN_S + DEFERRED_AGAIN_S)
-    assert not deferral.allows(BEGIN_S + DEFERRED_AGAIN_S + MOST_DEFERRED_S + 0.001)
+    assert deferral.allows(BEGIN_S + DEFERRAL_INTERVAL_S)
+    assert not deferral.allows(BEGIN_S + DEFERRAL_INTERVAL_S + MAX_DEFERRAL_S + 0.001)
 
 
-def test_many_short_pauses_keep_nobody_waiting_for_long() -> None:
-    """In each ten seconds accepting waits for room for half a second at most."""
+def test_many_short_pauses_do_not_defer_accepting_for_long() -> None:
+    """In ten seconds, accepting is deferred for about half a second in total."""
     deferral = AcceptDeferral()
-    waits = sum(deferral.allows(BEGIN_S + i / 1000) for i in range(10_000))
-    assert 400 <= waits <= 600
+    deferred = sum(deferral.allows(BEGIN_S + i / 1000) for i in range(10_000))
+    assert 400 <= deferred <= 600
 
 
-def test_after_a_long_pause_accepting_may_wait_longer_and_after_a_short_one_not() -> None:
-    for pause_s, most_s in ((0.15, MOST_DEFERRED_S), (4.0, 0.5), (60.0, MOST_DEFERRED_LONG_S)):
+def test_accepting_may_be_deferred_longer_after_a_long_pause_but_not_after_a_short_one() -> None:
+    for pause_s, most_s in ((0.15, MAX_DEFERRAL_S), (4.0, 0.5), (60.0, MAX_DEFERRAL_AFTER_PAUSE_S)):
         deferral = AcceptDeferral()
         assert deferral.allows(BEGIN_S, pause_s)
         assert deferral.allows(BEGIN_S + most_s - 0.001, pause_s)
@@ -50,45 +51,58 @@
     return found
 
 
-def test_loop_that_has_never_caught_up_is_well() -> None:
+def test_loop_that_has_never_caught_up_is_not_overloaded() -> None:
     assert not OverloadDetector().is_overloaded(BEGIN_S)
 
 
 def test_loop_that_does_not_catch_up_is_overloaded_until_it_does() -> None:
     found = detector()
-    assert not found.is_overloaded(BEGIN_S + MOST_BEHIND_S - 0.01)
-    assert found.is_overloaded(BEGIN_S + MOST_BEHIND_S + 0.01)
+    assert not found.is_overloaded(BEGIN_S + MAX_DELAY_S - 0.01)
+    assert found.is_overloaded(BEGIN_S + MAX_DELAY_S + 0.01)
     found.caught_up(BEGIN_S + 1.0)
     assert not found.is_overloaded(BEGIN_S + 1.0)
 
 
 @pytest.mark.parametrize("span_s", [0.15, 1.0, 8.0])
-def test_what_came_in_one_gap_has_time_to_be_read(span_s: float) -> None:
+def test_loop_gets_time_to_read_what_arrived_in_one_gap(span_s: float) -> None:
     found = detector()
-    found.gap(span_s)
-    woke_s = BEGIN_S + span_s
-    recovery_s = min(MOST_RECOVERY_S, RECOVERY_SHARE * span_s)
-    assert not found.is_overloaded(woke_s + MOST_BEHIND_S + recovery_s - 0.01)
-    assert found.is_overloaded(woke_s + MOST_BEHIND_S + recovery_s + 0.01)
+    found.record_gap(span_s)
+    resumed_s = BEGIN_S + span_s
+    recovery_s = min(MAX_RECOVERY_S, RECOVERY_SHARE * span_s)
+    assert not found.is_overloaded(resumed_s + MAX_DELAY_S + recovery_s - 0.01)
+    assert found.is_overloaded(resumed_s + MAX_DELAY_S + recovery_s + 0.01)
 
 
-def test_further_gaps_before_it_has_caught_up_are_no_excuse() -> None:
+def test_further_gaps_before_the_loop_has_caught_up_give_no_extra_time() -> None:
     found = detector()
-    found.gap(0.08)
+    found.record_gap(0.08)
     assert not found.is_overloaded(BEGIN_S + 0.1)
-    found.gap(0.08)
+    found.record_gap(0.08)
     assert found.is_overloaded(BEGIN_S + 0.21)
     found.caught_up(BEGIN_S + 0.21)
-    found.gap(0.08)  # with time to catch up between them they are
+    found.record_gap(0.08)  # after having caught up, a gap gives extra time again
     assert not found.is_overloaded(BEGIN_S + 0.31)
 
 
-def test_waiting_for_room_is_neither_being_behind_nor_having_caught_up() -> None:
+def test_deferral_counts_neither_as_delay_nor_as_having_caught_up() -> None:
     found = detector()
-    found.gap(8.0)
-    woke_s = BEGIN_S + 8.0
-    found.waited(0.5)
-    allowed_s = MOST_BEHIND_S + MOST_RECOVERY_S
+    found.record_gap(8.0)
+    resumed_s = BEGIN_S + 8.0
+    found.exclude_wait(0.5)
+    allowed_s = MAX_DELAY_S + MAX_RECOVERY_S
     assert found.recovering
-    assert not found.is_overloaded(woke_s + 0.5 + allowed_s - 0.01)
-    assert found.is_overloaded(woke_s + 0.5 + allowed_s + 0.01)
+    assert not found.is_overloaded(resumed_s + 0.5 + allowed_s - 0.01)
+    assert found.is_overloaded(resumed_s + 0.5 + allowed_s + 0.01)
+
+
+def test_unrecorded_pause_gives_time_once_until_the_loop_has_caught_up() -> None:
+    pauses = PauseDetector()
+    pauses.overload.caught_up(BEGIN_S)
+    pauses.last_poll_s = BEGIN_S
+    assert not pauses.is_overloaded(BEGIN_S + 0.5)  # paused since the poll
+    pauses.overload.record_gap(0.5)
+    pauses.last_poll_s = BEGIN_S + 0.5
+    assert pauses.is_overloaded(BEGIN_S + 1.0)  # paused again before it has caught up
+    pauses.last_poll_s = BEGIN_S + 0.95
+    pauses.overload.caught_up(BEGIN_S + 0.95)
+    assert not pauses.is_overloaded(BEGIN_S + 1.0)
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -1,6 +1,7 @@
-"""Random legal histories: servers that die, hang, restart and drain; clients that leave; kills.
+"""Property test on random valid event sequences.
 
-Every action is checked against the rules, from the outside and with books of its own.
+Servers fail, hang, restart and drain; clients disconnect; the proxy is killed. Every action is checked
+against the rules from the outside, by records of the test's own.
 """
 
 from __future__ import annotations
@@ -17,28 +18,28 @@
     Action,
     AttemptEnded,
     Cancel,
+    ClientDisconnected,
     EndpointsListed,
     EndpointState,
     Event,
     Fail,
     Idempotency,
+    IdempotencyScope,
     ListedEndpoint,
     ListKind,
     Outcome,
     Probe,
     ProbeEnded,
     Refuse,
-    RepeatScope,
     RequestArrived,
     RequestClass,
-    RequestGone,
     Send,
     SetTimer,
     Settings,
     StreamStarted,
     TimerFired,
 )
-from cloverrouter.membership.releases import SHOWN_PART
+from cloverrouter.membership.releases import COMPLETED_WORK_SHARE
 from cloverrouter.values import replace
 from tests.driver import KEYED, SAFE, SETTINGS, UNSAFE, endpoint
 
@@ -49,14 +50,14 @@
     SAFE,
     UNSAFE,
     KEYED,
-    replace(KEYED, name="cell", repeat_scope=RepeatScope.CELL, repeat_window_ms=1500),
-    replace(KEYED, name="everywhere", repeat_scope=RepeatScope.ALL),
+    replace(KEYED, name="cell", idempotency_scope=IdempotencyScope.CELL, idempotency_window_ms=1500),
+    replace(KEYED, name="everywhere", idempotency_scope=IdempotencyScope.ALL),
     replace(SAFE, name="stream", streamed=True, late_worth=0.5),
 )
 
 
 @dataclass
-class Sent:
+class SentAttempt:
     server: ListedEndpoint
     at_ms: float
     ends_ms: float
@@ -64,16 +65,16 @@
 
 
 @dataclass
-class Book:
+class RequestRecord:
     cls: RequestClass
     deadline_ms: float
-    sent: list[Sent] = field(default_factory=list)
+    sent: list[SentAttempt] = field(default_factory=list)
     over: bool = False
     streaming: bool = False
 
 
 class World:
-    """The proxy, its clients and its servers, as far as one balancer can see them."""
+    """Simulates a proxy, its clients and its servers, as far as one balancer can see them."""
 
     def __init__(self, config: Settings, seed: int) -> None:
         self.random = Random(seed)
@@ -81,84 +82,86 @@
         self.now_ms = 50_000.0
         self.ids = 0
         self.servers = {f"s{i}": endpoint(f"s{i}", "ab"[i % 2], i // 2 % 3) for i in range(6)}
-        self.mood = {
+        self.behavior = {
             name: self.random.choice(["well", "well", "hung", "failing", "down"]) for name in self.servers
         }
-        self.begin()
+        self.start()
 
-    def begin(self) -> None:
+    def start(self) -> None:
         self.balancer = Balancer(self.config, self.random.randrange(2**32))
-        self.books: dict[int, Book] = {}
-        self.came: list[float] = []
-        self.most_came = 0
+        self.records: dict[int, RequestRecord] = {}
+        self.arrivals_ms: list[float] = []
+        self.max_arrivals = 0
         self.timers: list[tuple[float, int]] = []
         self.probes: list[str] = []
-        self.pushes: defaultdict[str, list[float]] = defaultdict(list)
-        self.done: defaultdict[str, list[float]] = defaultdict(list)
-        self.tell(EndpointsListed(ListKind.RESTORED, tuple(self.servers.values())))
+        self.sent_ms: defaultdict[str, list[float]] = defaultdict(list)
+        self.completed_ms: defaultdict[str, list[float]] = defaultdict(list)
+        self.dispatch(EndpointsListed(ListKind.RESTORED, tuple(self.servers.values())))
 
-    # What happens
+    # Events
 
     def tick(self) -> None:
         self.now_ms += TICK_MS
         if self.random.random() < 0.0005:
-            self.begin()  # killed: what it held is its clients' again
+            self.start()  # killed: its requests are lost, and left to the clients
         if self.random.random() < 0.01:
-            self.tell(self.change())
-        for request_id, book in list(self.books.items()):
-            for number, sent in enumerate(book.sent):
-                event = self.progress(request_id, book, number, sent) if sent.outcome is None else None
+            self.dispatch(self.change())
+        for request_id, record in list(self.records.items()):
+            for number, sent in enumerate(record.sent):
+                event = self.progress(request_id, record, number, sent) if sent.outcome is None else None
                 if event:
-                    self.tell(event)
-            if not book.over and self.random.random() < 0.002:
-                book.over = True
-                self.tell(RequestGone(request_id))
+                    self.dispatch(event)
+            if not record.over and self.random.random() < 0.002:
+                record.over = True
+                self.dispatch(ClientDisconnected(request_id))
         for timer in [t for t in self.timers if t[0] <= self.now_ms]:
             self.timers.remove(timer)
-            self.tell(TimerFired(timer[1]))
+            self.dispatch(TimerFired(timer[1]))
         probes, self.probes = self.probes, []
         for name in probes:
-            well = self.mood[name] in ("well", "failing")
-            self.tell(ProbeEnded(name, Outcome.OK if well else Outcome.TIMEOUT, 2.0, (3.0,)))
+            well = self.behavior[name] in ("well", "failing")
+            self.dispatch(ProbeEnded(name, Outcome.OK if well else Outcome.TIMEOUT, 2.0, (3.0,)))
         for _ in range(self.random.choice([0, 0, 0, 1, 1, 2])):
             self.ids += 1
             cls = self.random.choice(CLASSES)
             deadline_ms = self.now_ms + cls.deadline_ms * self.random.uniform(0.2, 1.0)
-            self.books[self.ids] = Book(cls, deadline_ms)
-            self.came.append(self.now_ms)
-            since = self.now_ms - self.config.safety.push_window_ms
-            self.most_came = max(self.most_came, sum(at > since for at in self.came[-1000:]))
-            self.tell(RequestArrived(self.ids, cls.name, deadline_ms, work_hint_ms=100.0))
+            self.records[self.ids] = RequestRecord(cls, deadline_ms)
+            self.arrivals_ms.append(self.now_ms)
+            since = self.now_ms - self.config.safety.overload_window_ms
+            self.max_arrivals = max(self.max_arrivals, sum(at > since for at in self.arrivals_ms[-1000:]))
+            self.dispatch(RequestArrived(self.ids, cls.name, deadline_ms, work_hint_ms=100.0))
         self.check_answers()
-        over = [i for i, b in self.books.items() if b.over and all(s.outcome for s in b.sent)]
+        over = [i for i, b in self.records.items() if b.over and all(s.outcome for s in b.sent)]
         for request_id in over:
-            del self.books[request_id]
+            del self.records[request_id]
 
-    def progress(self, request_id: int, book: Book, number: int, sent: Sent) -> Event | None:
-        mood, roll = self.mood[sent.server.name], self.random.random()
+    def progress(
+        self, request_id: int, record: RequestRecord, number: int, sent: SentAttempt
+    ) -> Event | None:
+        behavior, roll = self.behavior[sent.server.name], self.random.random()
         outcome: Outcome | None = None
-        if book.streaming:
+        if record.streaming:
             outcome = Outcome.OK if roll < 0.1 else Outcome.RESET if roll < 0.11 else None
         elif self.now_ms >= sent.ends_ms:
             outcome = Outcome.TIMEOUT
-        elif mood == "down":
+        elif behavior == "down":
             outcome = Outcome.CONNECT_FAILED if roll < 0.1 else None
-        elif mood == "failing":
+        elif behavior == "failing":
             outcome = (
                 self.random.choice([Outcome.ERROR, Outcome.REJECTED, Outcome.RESET]) if roll < 0.3 else None
             )
-        elif mood == "well":
+        elif behavior == "well":
             outcome = Outcome.OK if roll < 0.05 else None
-            if book.cls.streamed and outcome and not book.over and len(book.sent) == 1:
-                book.streaming = True
+            if record.cls.streamed and outcome and not record.over and len(record.sent) == 1:
+                record.streaming = True
                 return StreamStarted(request_id, number, self.now_ms - sent.at_ms)
         if outcome is None:
             return None
         sent.outcome = outcome
         if outcome is Outcome.OK:
-            self.done[sent.server.name].append(self.now_ms)
-        answered = book.over or book.streaming or outcome is Outcome.OK
-        book.over = answered
+            self.completed_ms[sent.server.name].append(self.now_ms)
+        answered = record.over or record.streaming or outcome is Outcome.OK
+        record.over = answered
         return AttemptEnded(request_id, number, outcome, self.now_ms - sent.at_ms, answered)
 
     def change(self) -> Event:
@@ -172,15 +175,15 @@
         else:
             started = self.now_ms - self.random.choice([50.0, 1000.0])
             new = replace(old, state=EndpointState.READY, started_ms=started)
-            self.mood[name] = self.random.choice(["well", "well", "hung", "failing", "down"])
-            self.pushes[name].clear()
-            self.done[name].clear()
+            self.behavior[name] = self.random.choice(["well", "well", "hung", "failing", "down"])
+            self.sent_ms[name].clear()
+            self.completed_ms[name].clear()
         self.servers[name] = new
         return EndpointsListed(ListKind.DELTA, (new,))
 
-    # What is done about it
+    # Checks of the actions
 
-    def tell(self, event: Event) -> None:
+    def dispatch(self, event: Event) -> None:
         for action in self.balancer.handle(self.now_ms, [event]):
             self.check(action)
 
@@ -189,64 +192,69 @@
             case SetTimer():
                 self.timers.append((self.now_ms + max(action.delay_ms, TICK_MS), action.token))
             case Send():
-                self.check_send(self.books[action.request_id], action)
+                self.check_send(self.records[action.request_id], action)
             case Fail() | Refuse():
-                book = self.books[action.request_id]
-                assert not book.over, "a second final answer"
-                assert not book.streaming
-                book.over = True
+                record = self.records[action.request_id]
+                assert not record.over, "a second final answer"
+                assert not record.streaming
+                record.over = True
                 if isinstance(action, Refuse):
-                    possible = [s for s in book.sent if s.outcome not in NEVER_RAN]
-                    assert not possible or book.cls.idempotency is Idempotency.SAFE
+                    may_have_run = [s for s in record.sent if s.outcome not in NEVER_RAN]
+                    assert not may_have_run or record.cls.idempotency is Idempotency.SAFE
             case Cancel():
                 assert self.config.limits.cancel
-                sent = self.books[action.request_id].sent[action.attempt]
+                sent = self.records[action.request_id].sent[action.attempt]
                 if sent.outcome is None:
                     sent.ends_ms = self.now_ms
             case Probe():
                 assert self.config.limits.probes
                 self.probes.append(action.endpoint)
 
-    def check_send(self, book: Book, action: Send) -> None:
+    def check_send(self, record: RequestRecord, action: Send) -> None:
         server = self.servers[action.endpoint]
-        assert not book.over, "sent after its end"
-        assert not book.streaming
-        assert server.state is EndpointState.READY, "sent to a server that drains or is gone"
-        assert len(book.sent) < self.config.limits.max_attempts
+        assert not record.over, "sent after its final answer"
+        assert not record.streaming
+        assert server.state is EndpointState.READY, "sent to a draining or removed server"
+        assert len(record.sent) < self.config.limits.max_attempts
         assert action.timeout_ms > 0
-        out = [s for s in book.sent if s.outcome is None]
+        out = [s for s in record.sent if s.outcome is None]
         assert not out or self.config.limits.parallel_attempts
-        possible = [s for s in book.sent if s.outcome not in NEVER_RAN]
-        if possible:
-            assert book.cls.idempotency is not Idempotency.UNSAFE, "an effect twice"
-        if possible and book.cls.idempotency is Idempotency.KEYED:
-            assert self.now_ms < possible[0].at_ms + book.cls.repeat_window_ms
-            for earlier in possible:
-                if book.cls.repeat_scope is RepeatScope.ZONE:
+        may_have_run = [s for s in record.sent if s.outcome not in NEVER_RAN]
+        if may_have_run:
+            assert record.cls.idempotency is not Idempotency.UNSAFE, "an unsafe request ran twice"
+        if may_have_run and record.cls.idempotency is Idempotency.KEYED:
+            assert self.now_ms < may_have_run[0].at_ms + record.cls.idempotency_window_ms
+            for earlier in may_have_run:
+                if record.cls.idempotency_scope is IdempotencyScope.ZONE:
                     assert earlier.server.zone == server.zone
-                if book.cls.repeat_scope is RepeatScope.CELL:
+                if record.cls.idempotency_scope is IdempotencyScope.CELL:
                     assert earlier.server.cell == server.cell and earlier.server.zone == server.zone
-        book.sent.append(Sent(server, self.now_ms, min(self.now_ms + action.timeout_ms, book.deadline_ms)))
-        self.pushes[server.name].append(self.now_ms)
-        self.check_push(server)
+        record.sent.append(
+            SentAttempt(server, self.now_ms, min(self.now_ms + action.timeout_ms, record.deadline_ms))
+        )
+        self.sent_ms[server.name].append(self.now_ms)
+        self.check_cold_load(server)
 
-    def check_push(self, server: ListedEndpoint) -> None:
-        """A cold server gets, in any window, two requests and no more than the rule's multiple of its share
-        of what the busiest warm server ever got, or of all that ever came in where that is more; or half the
-        multiple of what it ever did in one, with the rule's margin for its share."""
+    def check_cold_load(self, server: ListedEndpoint) -> None:
+        """Check the load of a cold server in every overload window.
+
+        It gets at most two requests more than the overload multiple of its warm-up share of what the busiest
+        warm server ever got, or of all that ever arrived where that is more; or half the multiple of what it
+        ever completed in a window, plus the margin for its share.
+        """
         safety = self.config.safety
         if self.warmth(server) >= 1:
             return
-        span = safety.push_window_ms
-        sent = sum(at > self.now_ms - span for at in self.pushes[server.name])
-        warm = [self.pushes[s.name] for s in self.servers.values() if self.warmth(s) >= 1]
-        busiest = max((sum(at - span < b <= at for b in p) for p in warm for at in p), default=0)
-        share = max(busiest, self.most_came / len(self.servers))
-        done = self.done[server.name]
-        shown = max((sum(at - span < b <= at for b in done) for at in done), default=0)
-        stated = self.warmth(server) * share
-        most = max(stated, (SHOWN_PART + COLD_MARGIN) * max(shown, stated))
-        assert sent <= 2 + safety.push_multiple * most, "a cold server pushed"
+        window_ms = safety.overload_window_ms
+        sent = sum(at > self.now_ms - window_ms for at in self.sent_ms[server.name])
+        warm = [self.sent_ms[s.name] for s in self.servers.values() if self.warmth(s) >= 1]
+        busiest = max((sum(at - window_ms < b <= at for b in p) for p in warm for at in p), default=0)
+        share = max(busiest, self.max_arrivals / len(self.servers))
+        completed = self.completed_ms[server.name]
+        max_completed = max((sum(at - window_ms < b <= at for b in completed) for at in completed), default=0)
+        expected = self.warmth(server) * share
+        max_load = max(expected, (COMPLETED_WORK_SHARE + COLD_MARGIN) * max(max_completed, expected))
+        assert sent <= 2 + safety.overload_multiple * max_load, "a cold server overloaded"
 
     def warmth(self, server: ListedEndpoint) -> float:
         if server.started_ms is None:
@@ -256,14 +264,14 @@
         return min(1.0, safety.cold_share + (1 - safety.cold_share) * age)
 
     def check_answers(self) -> None:
-        for book in self.books.values():
-            late = self.now_ms > book.deadline_ms + GRACE_MS
-            assert book.over or book.streaming or not late, "a request lost"
+        for record in self.records.values():
+            late = self.now_ms > record.deadline_ms + GRACE_MS
+            assert record.over or record.streaming or not late, "a request without a final answer"
 
 
 @settings(derandomize=True, deadline=None, max_examples=25, database=None)
 @given(seed=st.integers(0, 2**32), parallel=st.booleans(), probes=st.booleans())
-def test_rules_hold_on_random_histories(seed: int, parallel: bool, probes: bool) -> None:
+def test_rules_hold_on_random_event_sequences(seed: int, parallel: bool, probes: bool) -> None:
     limits = replace(SETTINGS.limits, parallel_attempts=parallel, probes=probes, cancel=parallel)
     config = replace(SETTINGS, classes=CLASSES, limits=limits, report_fields=("inflight",))
     world = World(config, seed)
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -1,4 +1,4 @@
-"""The program end to end, over loopback sockets: what it owes clients, hosts and discovery."""
+"""End-to-end tests over loopback sockets: the program's obligations to clients, hosts and discovery."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     running,
 )
 
-SETTLED_S = 0.05  # after an answer: by then its connection may be used again
+REUSE_S = 0.05  # after this time from an answer its connection may be reused
 Scene = Callable[[], Coroutine[Any, Any, None]]
 
 
@@ -49,7 +49,7 @@
             for _ in range(5):
                 got = await client.ask("/keyed/a?obj=7f3a&x=%20", body=b"hello")
                 assert (got.status, got.body) == (200, body)
-                await asyncio.sleep(SETTLED_S)
+                await asyncio.sleep(REUSE_S)
         first = hosts[0].seen[0].message
         assert first.start == "POST /keyed/a?obj=7f3a&x=%20 HTTP/1.1"
         assert first.body == b"hello"
@@ -61,7 +61,7 @@
     asyncio.run(scene())
 
 
-def test_get_goes_on_without_a_body() -> None:
+def test_get_is_forwarded_without_a_body() -> None:
     async def scene() -> None:
         discovery, hosts = await fleet(answer_ok)
         async with running(discovery, hosts) as proxy:
@@ -91,7 +91,7 @@
     asyncio.run(scene())
 
 
-# What may have run, and what never ran
+# Requests that may have run, and requests that never ran
 
 
 @pytest.mark.parametrize(
@@ -120,7 +120,7 @@
             begun = time.monotonic()
             client = await proxy.client()
             assert (await client.ask("/unsafe")).status == status
-            # Given up, it is answered at once: by the aim (1.5 s), not near the client's deadline.
+            # Answered when the attempt is given up, at the aim of 1.5 s, not near the client's deadline.
             assert time.monotonic() - begun < 2.3
             assert (await client.ask("/keyed", timeout_ms=400)).status in (502, 503)
         assert len([s for h in hosts for s in h.seen if "/unsafe" in s.message.start]) == 1
@@ -128,7 +128,7 @@
     asyncio.run(scene())
 
 
-def test_attempt_that_is_given_up_closes_its_connection() -> None:
+def test_abandoned_attempt_closes_its_connection() -> None:
     async def scene() -> None:
         discovery, hosts = await fleet(never)
         async with running(discovery, hosts) as proxy:
@@ -149,7 +149,7 @@
     asyncio.run(scene())
 
 
-def test_keyed_request_is_sent_again_elsewhere_after_a_reset() -> None:
+def test_keyed_request_is_retried_at_another_host_after_a_reset() -> None:
     async def scene() -> None:
         discovery, hosts = await fleet(answer_ok, answer_ok)
 
@@ -176,14 +176,14 @@
                 for writer in list(hosts[0].open.values()):
                     writer.close()
                 await hosts[0].wait(lambda: not hosts[0].open)
-                # The end reaches the proxy at its own time; a ping to it comes after that.
+                # The proxy may notice the close later; it has done so before it answers a health check.
                 assert await proxy.health() == 200, i
         assert hosts[0].connections == 4
 
     asyncio.run(scene())
 
 
-def test_noise_behind_an_answer_is_not_taken_for_the_next() -> None:
+def test_extra_data_behind_an_answer_is_not_taken_for_the_next_answer() -> None:
     async def scene() -> None:
         discovery, hosts = await fleet(raw(ok(b"mine") + ok(b"not asked for")))
         async with running(discovery, hosts) as proxy:
@@ -195,7 +195,7 @@
     asyncio.run(scene())
 
 
-def test_interim_answers_are_passed_over() -> None:
+def test_interim_answers_are_skipped() -> None:
     async def scene() -> None:
         discovery, hosts = await fleet(
             raw(b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 E\r\nLink: x\r\n\r\n" + ok(b"real"))
@@ -204,7 +204,7 @@
             client = await proxy.client()
             for _ in range(2):
                 assert (await client.ask("/unsafe")).body == b"real"
-                await asyncio.sleep(SETTLED_S)
+                await asyncio.sleep(REUSE_S)
         assert hosts[0].connections == 1
 
     asyncio.run(scene())
@@ -213,10 +213,10 @@
 # Clients
 
 
-def test_client_that_leaves_ends_its_attempts() -> None:
+def test_client_disconnect_ends_its_attempts() -> None:
     async def scene() -> None:
         discovery, hosts = await fleet(never)
-        # With so much time, only the client's leaving can end the attempt.
+        # With a timeout of 120 s only the client's disconnect can end the attempt.
         patient = {**SETTINGS["categories"][0], "aim_ms": 120_000, "deadline_ms": 120_000}
         async with running(discovery, hosts, settings={"categories": [patient]}) as proxy:
             client = await proxy.client()
@@ -232,7 +232,7 @@
 
 
 @pytest.mark.parametrize("cost", ["nan", "-5", "1e3", "", "9" * 400])
-def test_guess_that_is_no_figure_is_none(cost: str) -> None:
+def test_invalid_cost_hint_is_ignored(cost: str) -> None:
     async def scene() -> None:
         discovery, hosts = await fleet(answer_ok)
         async with running(discovery, hosts) as proxy:
@@ -243,7 +243,7 @@
     asyncio.run(scene())
 
 
-def test_request_that_is_over_already_is_refused_unsent() -> None:
+def test_request_past_its_deadline_is_refused_unsent() -> None:
     async def scene() -> None:
         discovery, hosts = await fleet(answer_ok)
         async with running(discovery, hosts) as proxy:
@@ -256,20 +256,20 @@
 @pytest.mark.parametrize(
     ("bounds", "wait"), [({}, None), ({"retry_after": True, "max_retry_after_ms": 750.0}, "0.100")]
 )
-def test_refusal_says_when_to_come_back_where_the_settings_pass_it_on(
+def test_refusal_has_a_retry_after_header_if_the_settings_enable_it(
     bounds: dict[str, Any], wait: str | None
 ) -> None:
     async def scene() -> None:
         discovery, hosts = await fleet(answer_ok)
-        told = {"bounds": {**SETTINGS["bounds"], **bounds}}
-        async with running(discovery, hosts, settings=told) as proxy:
+        settings = {"bounds": {**SETTINGS["bounds"], **bounds}}
+        async with running(discovery, hosts, settings=settings) as proxy:
             got = await (await proxy.client()).ask("/unsafe", timeout_ms=0)
             assert (got.status, got.headers.get("retry-after")) == (503, wait)
 
     asyncio.run(scene())
 
 
-def test_trailer_changes_nothing() -> None:
+def test_trailer_does_not_override_headers() -> None:
     async def scene() -> None:
         discovery, hosts = await fleet(answer_ok)
         async with running(discovery, hosts) as proxy:
@@ -288,7 +288,7 @@
 # Discovery
 
 
-def test_drained_host_gets_nothing_more() -> None:
+def test_drained_host_gets_no_more_requests() -> None:
     async def scene() -> None:
         discovery, hosts = await fleet(answer_ok, answer_ok)
         async with running(discovery, hosts) as proxy:
@@ -296,7 +296,7 @@
             while not hosts[0].seen:
                 assert (await client.ask("/unsafe")).status == 200
             await discovery.change(hosts[0].entry("leaving"))
-            # The proxy closes its idle connections there once it has taken the change in.
+            # The proxy closes its idle connections there when it has applied the change.
             await hosts[0].wait(lambda: not hosts[0].open)
             before = len(hosts[0].seen)
             for _ in range(20):
@@ -335,18 +335,18 @@
         "version",
     ],
 )
-def test_failed_discovery_leaves_the_list_and_is_asked_again(broken: bytes) -> None:
+def test_failed_discovery_call_keeps_the_list_and_is_retried(broken: bytes) -> None:
     async def scene() -> None:
         discovery, hosts = await fleet(answer_ok)
         late = await Host("late").start()
-        discovery.broken = [broken, broken]
+        discovery.broken_answers = [broken, broken]
         async with running(discovery, hosts) as proxy:
             client = await proxy.client()
             assert (await client.ask("/unsafe")).status == 200
-            await discovery.asked(3)
+            await discovery.wait_for_calls(3)
             assert (await client.ask("/unsafe")).status == 200
             await discovery.change(late.entry())
-            while not late.seen:  # the watch is back
+            while not late.seen:  # until the watch has recovered
                 assert (await client.ask("/unsafe")).status == 200
 
     asyncio.run(scene())
@@ -355,7 +355,7 @@
 def test_not_ready_before_a_list_is_known() -> None:
     async def scene() -> None:
         discovery, hosts = await fleet(answer_ok)
-        discovery.broken = [b"HTTP/1.1 503 S\r\nContent-Length: 0\r\n\r\n"] * 3
+        discovery.broken_answers = [b"HTTP/1.1 503 S\r\nContent-Length: 0\r\n\r\n"] * 3
         async with running(discovery, hosts, known=False, ready=(503,)) as proxy:
             await proxy.wait_health(200)
             assert len(discovery.calls) >= 4
@@ -364,10 +364,10 @@
     asyncio.run(scene())
 
 
-def test_pushed_lists_are_asked_for_by_the_program_itself() -> None:
+def test_pushed_list_is_requested_by_the_program_itself() -> None:
     async def scene() -> None:
         discovery, hosts = await fleet(answer_ok)
-        discovery.broken = [b"", b""]
+        discovery.broken_answers = [b"", b""]
         async with running(
             discovery, hosts, known=False, ready=(503, 200), settings={"discovery": "automatic"}
         ) as proxy:
@@ -377,7 +377,7 @@
     asyncio.run(scene())
 
 
-# The end
+# Shutdown
 
 
 async def sigterm_under_load(proxy: Proxy, hosts: list[Host]) -> None:
@@ -407,30 +407,32 @@
 
 def test_sigterm_under_load_loses_nothing() -> None:
     async def scene() -> None:
-        discovery, hosts = await fleet(*[answer_ok] * 8)  # the module starts with one request for each
+        discovery, hosts = await fleet(
+            *[answer_ok] * 8
+        )  # the balancer starts with a limit of one request per host
         async with running(discovery, hosts) as proxy:
             await sigterm_under_load(proxy, hosts)
 
     asyncio.run(scene())
 
 
-def test_sigterm_does_not_wait_for_half_a_request() -> None:
+def test_sigterm_does_not_wait_for_an_incomplete_request() -> None:
     async def scene() -> None:
         discovery, hosts = await fleet(answer_ok)
         async with running(discovery, hosts) as proxy:
             client = await proxy.client()
             assert (await client.ask("/keyed")).status == 200
             client.writer.write(b"POST /keyed HTTP/1.1\r\nX-Request-ID: 1\r\nContent-Length: 9\r\n\r\nhalf")
-            assert await proxy.health() == 200  # by now the half has been read
+            assert await proxy.health() == 200  # the incomplete request has been read by then
             begun = time.monotonic()
             proxy.process.send_signal(signal.SIGTERM)
             assert await proxy.ended() == 0
-            assert time.monotonic() - begun < 5  # unfinished requests have 10 s otherwise
+            assert time.monotonic() - begun < 5  # incomplete requests otherwise have 10 s
 
     asyncio.run(scene())
 
 
-def test_no_configuration_no_start() -> None:
+def test_program_does_not_start_without_a_configuration() -> None:
     done = subprocess.run(
         [sys.executable, "-m", "cloverrouter.proxy"],
         env={"PROXY_CONFIG": "/nonexistent"},
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The README's example of embedding runs as it stands."""
+"""The embedding example in README.md runs unchanged."""
 
 import re
 from pathlib import Path
