--- a/cloverrouter/proxy/client_connection.py
+++ b/cloverrouter/proxy/client_connection.py
@@ -391,6 +391,8 @@
 
     def _refuse(self, call: ClientCall, reason: RefusalReason) -> None:
         """Refuse a request before it reaches the balancer."""
+        if self._direct and reason is RefusalReason.EXPIRED:
+            call.keep_alive = False  # its client has given up, and the event loop need not learn of it
         self._frontend.load.refused(reason)
         self._frontend.errors.recorder.record("refused", call.request_id, reason.value)
         if self._frontend.observer is not None:
--- a/cloverrouter/proxy/eviction.py
+++ b/cloverrouter/proxy/eviction.py
@@ -50,39 +50,40 @@
         return self._idle if stage is Stage.IDLE else None
 
     def evict(self, now_s: float, spare_active: bool = False) -> bool:
-        """Close the least valuable connection; return whether there was one.
-
-        `spare_active`: spare connections that may be about to send a request, and those whose answer is not
-        fully sent. `now_s`: time on the clock that excludes process pauses.
-        """
-        connection = self.candidate(now_s, spare_active, unflushed=False)
-        if connection is None and not spare_active:
-            connection = self.candidate(now_s, spare_active, unflushed=True)
+        """Close the least valuable connection; return whether there was one."""
+        connection = self.choose(now_s, spare_active)
         if connection is None:
             return False
         self.remove(connection)
         connection.end("evicted")
         return True
 
-    def candidate(self, now_s: float, spare_active: bool, unflushed: bool) -> ClientConnection | None:
+    def choose(self, now_s: float, spare_active: bool = False) -> ClientConnection | None:
+        """Return the connection that `evict` closes.
+
+        `spare_active`: spare connections that may be about to send a request, and those whose answer is not
+        fully sent. `now_s`: time on the clock that excludes process pauses.
+        """
+        connection = self._candidate(now_s, spare_active, unflushed=False)
+        if connection is None and not spare_active:
+            connection = self._candidate(now_s, spare_active, unflushed=True)
+        return connection
+
+    def _candidate(self, now_s: float, spare_active: bool, unflushed: bool) -> ClientConnection | None:
         """Return the connection to close; `unflushed`: consider only those with unsent answer bytes."""
-        grace_s = self._silent_grace_s(spare_active)
+        grace_s = FIRST_REQUEST_GRACE_S if spare_active else SILENT_GRACE_S
+        spares_new = len(self._silent) <= self.max_open // MAX_SILENT_DIVISOR
         for connections in (self._ended, self._silent, self._idle):
             for connection in connections:
                 if connection.unflushed is not unflushed:
                     continue
-                if connections is self._silent and connection.state_since_s > now_s - grace_s:
+                is_new = spares_new and connection.state_since_s > now_s - grace_s
+                if is_new and connections is self._silent:
                     break  # insertion order: all that follow are newer
                 if connection.evictable:
                     return connection
         return None
 
-    def _silent_grace_s(self, spare_active: bool) -> float:
-        """Return the age up to which a connection that has sent no request is not closed."""
-        if len(self._silent) > self.max_open // MAX_SILENT_DIVISOR:
-            return 0.0
-        return FIRST_REQUEST_GRACE_S if spare_active else SILENT_GRACE_S
-
     @property
     def has_unread_requests(self) -> bool:
         """Whether a connection without a request so far has received bytes that are not read yet."""
--- a/cloverrouter/proxy/frontend.py
+++ b/cloverrouter/proxy/frontend.py
@@ -93,10 +93,9 @@
         """
         return self.eviction.evict(self.active_time_s(), spare_active)
 
-    def could_evict(self) -> bool:
-        """Return whether there is a connection that can be evicted."""
-        now_s = self.active_time_s()
-        return any(self.eviction.candidate(now_s, False, unflushed) for unflushed in (False, True))
+    def could_evict(self, spare_active: bool = False) -> bool:
+        """Return whether `evict` would close a connection."""
+        return self.eviction.choose(self.active_time_s(), spare_active) is not None
 
     @property
     def has_many_idle(self) -> bool:
--- a/cloverrouter/proxy/listener.py
+++ b/cloverrouter/proxy/listener.py
@@ -65,7 +65,7 @@
         self._frontend, self._loop, self._pause_detector = frontend, frontend.loop, frontend.pause_detector
         self._errors, self._load = frontend.errors, frontend.load
         self._socket: socket.socket | None = None
-        self._accepting: set[asyncio.Task[object]] = set()
+        self._accepting: dict[asyncio.Task[object], ClientConnection] = {}
         self._refusing: dict[ClientConnection, None] = {}  # the oldest first
         self._deferral = AcceptDeferral()
         self.deferred = False  # connections are left queued until there is capacity
@@ -139,9 +139,9 @@
             self._no_descriptor_s = float("-inf")
             self._load.accepted(self._last_accept_s - self._queued_since_s)
             full = under_pressure and self._frontend.is_full()
-            has_evicted = full and self._frontend.evict()
-            evicted += has_evicted
-            in_loop += self._start(sock, refuses=full and not has_evicted)
+            has_room = not under_pressure or self._make_room()
+            evicted += full and has_room
+            in_loop += self._start(sock, refuses=not has_room)
             if in_loop >= MAX_ACCEPTS_PER_STEP or evicted >= MAX_EVICTIONS_PER_STEP:
                 break  # an evicted connection holds its descriptor until the loop's next step
         return True
@@ -159,8 +159,8 @@
         if refuses:
             self._refusing[connection] = None
         task: asyncio.Task[object] = self._loop.create_task(self._attach(connection, sock))
-        self._accepting.add(task)
-        task.add_done_callback(self._accepting.discard)
+        self._accepting[task] = connection
+        task.add_done_callback(self._accepting.pop)
         return True
 
     def _answered_at_once(self, connection: ClientConnection, sock: socket.socket) -> bool:
@@ -207,7 +207,7 @@
         self.deferred = self._left_queued = False
 
     def _defers(self) -> bool:
-        """Return whether the next connection is left queued for now; may evict one to make room for it."""
+        """Return whether the next connection is left queued for now; may end one that is only refused."""
         reason = self._reason_to_defer()
         if reason is None and not self._has_capacity() and not self._reserve_refusing_slot():
             reason = DeferReason.REFUSING  # reading the refused connections frees slots for the next ones
@@ -215,22 +215,24 @@
             self._load.deferred(reason)
         return reason is not None
 
+    def _make_room(self) -> bool:
+        """Evict a connection if too many are open; return whether the one just accepted can be served."""
+        frontend = self._frontend
+        if self._is_recovering() and frontend.evict(spare_active=True):
+            return True
+        return not frontend.is_full() or frontend.evict()
+
     def _reason_to_defer(self) -> DeferReason | None:
         """Return why connections are left queued for now; None if the next one should be accepted."""
         frontend = self._frontend
+        if self._is_attaching() and frontend.is_full() and not frontend.could_evict():
+            return DeferReason.BEING_ACCEPTED  # in the next loop steps some of them can be read, or evicted
         reason = None
-        if (
-            self.delayed_since_s
-            and frontend.is_full(RECOVERY_SHARE)
-            and not frontend.evict(spare_active=True)
-        ):
+        if self._is_recovering() and not frontend.could_evict(spare_active=True):
             # The balancer would exceed its limit on queued requests, and refuse the oldest of them.
             reason = DeferReason.RECOVERING
-        elif frontend.is_full() and not frontend.could_evict():
-            if self._accepting:
-                return DeferReason.BEING_ACCEPTED  # they are attached in the next loop steps
-            if frontend.eviction.has_unread_requests:
-                reason = DeferReason.UNREAD_REQUESTS
+        elif frontend.is_full() and not frontend.could_evict() and frontend.eviction.has_unread_requests:
+            reason = DeferReason.UNREAD_REQUESTS
         if reason is None or not self._deferral.allows(self._loop.time(), self._recent_pause_s()):
             return None
         self.deferred = self._left_queued = True
@@ -240,6 +242,14 @@
             self._pause_accepting(MAX_DEFERRAL_S / 2)
         return reason
 
+    def _is_recovering(self) -> bool:
+        """Return whether connections waited in the queue while `RECOVERY_SHARE` of the limit is in use."""
+        return bool(self.delayed_since_s) and self._frontend.is_full(RECOVERY_SHARE)
+
+    def _is_attaching(self) -> bool:
+        """Return whether connections that are served have been accepted, but not attached to the loop yet."""
+        return any(not connection.refuses for connection in self._accepting.values())
+
     def _recent_pause_s(self) -> float:
         """Return the duration of the last process pause if it ended recently, else 0."""
         gap = self._pause_detector.pauses.last
--- a/tests/test_waking_front.py
+++ b/tests/test_waking_front.py
@@ -152,6 +152,78 @@
     run_scene(scene)
 
 
+def test_no_request_is_refused_while_accepted_connections_are_being_attached(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """Attached, they can be evicted; until then they can't, and the limit seems to be used up.
+
+    The allowance for deferring accept(2) after a pause is spent, as after an earlier pause.
+    """
+    monkeypatch.setattr(accept_rules, "MAX_DEFERRAL_S", 0.0)
+    monkeypatch.setattr(accept_rules, "MAX_DEFERRAL_AFTER_PAUSE_S", 0.0)
+
+    async def scene(loop: Loop) -> None:
+        frontend, handler, address = await start_frontend(loop, 8)
+        silent = [connect(address) for _ in range(8)]
+        clients = [connect(address, request(f"r{i}")) for i in range(4)]
+        time.sleep(PAUSE_S)
+        await until(lambda: len(handler.calls) + frontend.load.total["refused_no_capacity"] == 4)
+        assert len(handler.calls) == 4
+        frontend.stop_accepting()
+        for client in (*silent, *clients):
+            client.close()
+
+    run_scene(scene)
+
+
+def test_one_connection_is_evicted_for_each_that_waited_in_a_pause() -> None:
+    async def scene(loop: Loop) -> None:
+        frontend, handler, address = await start_frontend(loop, 8)
+        silent = [connect(address) for _ in range(8)]
+        await until(lambda: frontend.count == 8)
+        client = connect(address, request("r0"))
+        time.sleep(PAUSE_S)
+        await until(lambda: handler.calls)
+        assert frontend.count == 8
+        for one in (*silent, client):
+            one.close()
+
+    run_scene(scene)
+
+
+def test_crowd_of_silent_connections_is_evicted_although_a_pause_made_them_newer() -> None:
+    """A pause is recorded by the next poll; connections accepted before it then seem to be of later times."""
+
+    async def scene(loop: Loop) -> None:
+        frontend, _, address = await start_frontend(loop, 8)
+        silent = [connect(address) for _ in range(8)]
+        await until(lambda: frontend.count == 8)
+        for connection in frontend._connections:
+            connection.state_since_s += PAUSE_S
+        assert frontend.could_evict() and frontend.evict(spare_active=True)
+        for one in silent:
+            one.close()
+
+    run_scene(scene)
+
+
+def test_expired_request_is_refused_without_the_event_loop() -> None:
+    """Its client has given up; keeping its connection would cost as much as a request."""
+
+    async def scene(loop: Loop) -> None:
+        frontend, handler, address = await start_frontend(loop, 8)
+        late = connect(address, request("r0").replace(b"\r\n\r\n", b"\r\nX-Timeout-Ms: 100\r\n\r\n"))
+        time.sleep(PAUSE_S)
+        await until(lambda: frontend.load.total["refused_expired"])
+        assert frontend.listener.accepting == 0 and frontend.count == 0 and not handler.calls
+        answer = late.recv(1000)
+        assert answer.startswith(b"HTTP/1.1 503") and b"Connection: close" in answer
+        assert late.recv(1000) == b""
+        late.close()
+
+    run_scene(scene)
+
+
 def test_listener_that_is_polled_is_not_registered_again() -> None:
     """Registered again right after a gap, it would be polled later, and queued connections would seem new."""
 
