--- a/benchmarks/stalls.py
+++ b/benchmarks/stalls.py
@@ -42,7 +42,7 @@
 )
 COLUMNS = (
     "asked", "over", "served", "refused", "failed", "resets", "unanswered", "run late", "unsafe late",
-    "twice", "kept back", "after", "after not served",
+    "twice", "kept back", "server late", "after", "after not served",
 )  # fmt: skip
 
 
--- a/cloverrouter/lab/peers.py
+++ b/cloverrouter/lab/peers.py
@@ -317,9 +317,10 @@
 
 @dataclass
 class Account:
-    """What each server received (time and request id), and the status codes of each request's answers."""
+    """What servers received (time and request id) and answered, and the statuses that clients received."""
 
     received: dict[str, list[tuple[float, str]]] = field(default_factory=dict)
+    answered_s: dict[str, float] = field(default_factory=dict)  # by request id: when its server answered it
     answers: dict[str, list[int]] = field(default_factory=dict)
 
     def since(self, server: str, moment_s: float) -> int:
@@ -344,8 +345,10 @@
     async def respond(seen: Seen, writer: asyncio.StreamWriter) -> None:
         # On a busy machine this process reads late; without this correction the proxy would seem to be late.
         received_s = time.monotonic() - (data_age_s(writer.get_extra_info("socket")) or 0.0)
-        account.received[name].append((received_s, seen.message.headers["x-request-id"]))
+        request_id = seen.message.headers["x-request-id"]
+        account.received[name].append((received_s, request_id))
         await asyncio.sleep(work_s)
+        account.answered_s[request_id] = time.monotonic()
         writer.write(ok(name.encode(), b"X-Server-Load: inflight=3,queue=1\r\n"))
 
     return await Host(name, respond).start()
