--- a/cloverrouter/proxy/eviction.py
+++ b/cloverrouter/proxy/eviction.py
@@ -71,19 +71,27 @@
 
     def _candidate(self, now_s: float, spare_active: bool, unflushed: bool) -> ClientConnection | None:
         """Return the connection to close; `unflushed`: consider only those with unsent answer bytes."""
-        grace_s = FIRST_REQUEST_GRACE_S if spare_active else SILENT_GRACE_S
-        spares_new = len(self._silent) <= self.max_open // MAX_SILENT_DIVISOR
+        grace_s = self._silent_grace_s(spare_active)
         for connections in (self._ended, self._silent, self._idle):
             for connection in connections:
                 if connection.unflushed is not unflushed:
                     continue
-                is_new = spares_new and connection.state_since_s > now_s - grace_s
-                if is_new and connections is self._silent:
+                if connections is self._silent and connection.state_since_s > now_s - grace_s:
                     break  # insertion order: all that follow are newer
                 if connection.evictable:
                     return connection
         return None
 
+    def _silent_grace_s(self, spare_active: bool) -> float:
+        """Return the age up to which a connection that has sent no request is not closed.
+
+        A pause is recorded by the next poll, so that a connection accepted before that is spared for as long
+        as the process was paused: a starved process would close many whose requests are about to arrive.
+        """
+        if len(self._silent) > self.max_open // MAX_SILENT_DIVISOR:
+            return 0.0
+        return FIRST_REQUEST_GRACE_S if spare_active else SILENT_GRACE_S
+
     @property
     def has_unread_requests(self) -> bool:
         """Whether a connection without a request so far has received bytes that are not read yet."""
