--- a/cloverrouter/cli.py
+++ b/cloverrouter/cli.py
@@ -11,6 +11,8 @@
 from pathlib import Path
 
 DEFAULT_SOCKET = "/run/cloverrouter/control.sock"
+OPTIONAL_LIBRARIES = frozenset({"msgspec"})
+MISSING_LIBRARIES = "this needs the appliance's libraries; right is: pip install 'cloverrouter[appliance]'"
 # Exit codes of `ctl`, for scripts.
 DONE, REFUSED, USAGE, UNREACHABLE, LOST = 0, 1, 2, 3, 4
 
@@ -150,6 +152,17 @@
 
         return lab(words[1:])
     options = build_parser().parse_args(words)
+    try:
+        return dispatch(options)
+    except ModuleNotFoundError as error:
+        if error.name not in OPTIONAL_LIBRARIES:
+            raise
+        print(f"{MISSING_LIBRARIES} ({error.name} is missing)", file=sys.stderr)
+        return USAGE
+
+
+def dispatch(options: argparse.Namespace) -> int:
+    """Run the chosen subcommand; return its exit code."""
     match options.word:
         case "check":
             return check(options.file)
--- a/tests/test_wheel.py
+++ b/tests/test_wheel.py
@@ -183,6 +183,15 @@
     assert lab_cli.MISSING_LIBRARIES in result.stderr
 
 
+def test_command_that_needs_an_optional_library_names_it(installation: Installation, tmp_path: Path) -> None:
+    file = tmp_path / "site.toml"
+    file.write_text("")
+    for words in (["check", str(file)], ["ctl", "--site", str(file), "status"]):
+        result = installation.run("cloverrouter", *words)
+        assert (result.returncode, result.stdout) == (cli.USAGE, ""), words
+        assert result.stderr == f"{cli.MISSING_LIBRARIES} (msgspec is missing)\n"
+
+
 def test_every_subcommand_prints_its_help_without_optional_libraries(installation: Installation) -> None:
     commands = {*subcommands(cli.build_parser()), *subcommands(lab_cli.build_parser(), "lab")}
     assert {(), ("run",), ("task", "run"), ("lab", "run")} <= commands  # the parsers were walked
