--- a/cloverrouter/proxy/frontend.py
+++ b/cloverrouter/proxy/frontend.py
@@ -151,7 +151,7 @@
 
         `spare_new`: keep recently opened ones: the client is about to send a request and would get a reset.
         """
-        asked_by_s = self.active_time_s() - FIRST_REQUEST_GRACE_S
+        asked_by_s = self.active_time_at_poll_s() - FIRST_REQUEST_GRACE_S
         for connection in list(self._connections):
             if (
                 not spare_new
@@ -198,8 +198,11 @@
     def active_time_s(self) -> float:
         return self.pause_detector.active_time_s(self.loop.time())
 
+    def active_time_at_poll_s(self) -> float:
+        return self.pause_detector.active_time_at_poll_s(self.loop.time())
+
     def _sweep(self) -> None:
-        now_s = self.active_time_s()
+        now_s = self.active_time_at_poll_s()
         self._trim()
         half_full = len(self._connections) > self._max_connections // 2
         for connection in list(self._connections):
--- a/cloverrouter/proxy/shutdown.py
+++ b/cloverrouter/proxy/shutdown.py
@@ -76,12 +76,12 @@
 async def _settle(frontend: Frontend, node: Node, exit_by_s: float) -> None:
     """Wait until all requests are answered, and `CLIENT_GRACE_S` more for incomplete requests."""
     loop = asyncio.get_running_loop()
-    last_open_s = frontend.active_time_s()
+    last_open_s = frontend.active_time_at_poll_s()
     # Limited, as a client that neither completes its request nor reads would keep the process from exiting.
-    while node.busy or (frontend.busy and frontend.active_time_s() < last_open_s + CLIENT_GRACE_S):
+    while node.busy or (frontend.busy and frontend.active_time_at_poll_s() < last_open_s + CLIENT_GRACE_S):
         if loop.time() >= exit_by_s:
             return
         if node.busy or frontend.has_unfinished_answers:
-            last_open_s = frontend.active_time_s()
+            last_open_s = frontend.active_time_at_poll_s()
         await asyncio.sleep(POLL_S)
         frontend.close_idle(spare_new=True)
--- a/cloverrouter/proxy/wake.py
+++ b/cloverrouter/proxy/wake.py
@@ -112,6 +112,13 @@
         """
         return at_s - self.pauses.paused_s
 
+    def active_time_at_poll_s(self, at_s: float) -> float:
+        """Return the same as of the latest poll: a pause since then is recorded by the next one.
+
+        For what is ended once its time is over. The other method would count such a pause as elapsed time.
+        """
+        return self.active_time_s(min(at_s, self.last_poll_s))
+
     def is_overloaded(self, at_s: float) -> bool:
         """Whether the loop has fallen behind.
 
--- a/tests/test_waking_front.py
+++ b/tests/test_waking_front.py
@@ -5,6 +5,7 @@
 import asyncio
 import socket
 import time
+from collections.abc import Awaitable, Callable
 from types import SimpleNamespace
 from typing import Any
 
@@ -13,7 +14,8 @@
 from cloverrouter.decide import Balancer
 from cloverrouter.interface import Event, Idempotency, RequestArrived, Send
 from cloverrouter.lab.peers import ok
-from cloverrouter.proxy import accept_rules
+from cloverrouter.proxy import accept_rules, client_connection
+from cloverrouter.proxy import frontend as frontends
 from cloverrouter.proxy.client_connection import ClientConnection
 from cloverrouter.proxy.eviction import SILENT_GRACE_S
 from cloverrouter.proxy.frontend import Frontend
@@ -26,6 +28,7 @@
 
 CLASSES = {"unsafe": Idempotency.UNSAFE, "safe": Idempotency.SAFE}
 PAUSE_S = 0.3
+Block = Callable[[Loop, float], Awaitable[None]]
 
 
 class StubHandler:
@@ -317,7 +320,50 @@
     run_scene(scene)
 
 
-def test_drain_waits_for_new_connections_and_excludes_process_pauses() -> None:
+async def block_between_steps(loop: Loop, for_s: float) -> None:
+    time.sleep(for_s)
+
+
+async def block_ahead_of_timers(loop: Loop, for_s: float) -> None:
+    """Block in a loop step ahead of the timers that are due in it: the next poll records the pause."""
+    loop.call_soon(time.sleep, 0.03)  # the timers of this time are due in one step, the next line's first
+    loop.call_later(0.0001, time.sleep, for_s)
+    await asyncio.sleep(0.0002)
+
+
+async def block_ahead_of_tasks(loop: Loop, for_s: float) -> None:
+    """Do the same ahead of the tasks whose timers were due in the step before."""
+    loop.call_soon(time.sleep, 0.03)
+    await asyncio.sleep(0.0001)
+    time.sleep(for_s)
+
+
+BLOCKS = pytest.mark.parametrize("block", [block_between_steps, block_ahead_of_timers, block_ahead_of_tasks])
+
+
+@BLOCKS
+def test_pause_does_not_count_against_an_incomplete_request(
+    block: Block, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    monkeypatch.setattr(frontends, "SWEEP_INTERVAL_S", 0.02)  # due in most of the blocked steps
+    monkeypatch.setattr(client_connection, "REQUEST_TIMEOUT_S", 0.5)
+
+    async def scene(loop: Loop) -> None:
+        frontend, handler, address = await start_frontend(loop, 8)
+        partial = connect(address, request("r0")[:20])
+        await until(lambda: frontend.count == 1)
+        for _ in range(5):
+            await block(loop, 0.5)
+            await asyncio.sleep(0.005)
+        partial.sendall(request("r0")[20:])
+        await until(lambda: handler.calls)
+        partial.close()
+
+    run_scene(scene)
+
+
+@BLOCKS
+def test_drain_waits_for_new_connections_and_excludes_process_pauses(block: Block) -> None:
     async def scene(loop: Loop) -> None:
         frontend, handler, address = await start_frontend(loop, 8)
         partial = connect(address, request("r0")[:20])
@@ -330,7 +376,7 @@
         await until(lambda: handler.calls)
         handler.calls.pop().reply(200, b"")
         assert silent.recv(1000).startswith(b"HTTP/1.1 200")
-        time.sleep(1.0)
+        await block(loop, 1.0)
         await asyncio.sleep(0.1)
         assert not draining.done()
         partial.sendall(request("r0")[20:])
